--- a/loadbalancer/policy/admission.py
+++ b/loadbalancer/policy/admission.py
@@ -1,8 +1,8 @@
-"""Admission: the cursor table with its priority rows, and tenants' quotas.
+"""Admission control: each request is admitted or rejected at once, by priority and attempts in flight.
 
-Each position of the cursor table holds a threshold for this proxy's own calls in flight, lower in the rows of
-lower priorities. Each period the pool's load moves the cursor by one position. A request that meets its row's
-threshold is rejected at once.
+A request is admitted while the proxy's attempts in flight stay under the threshold that the cursor table
+holds for the request's priority. Once per period, the load of the pool moves the cursor by one position: over
+its target, to lower thresholds, which shed the lowest priorities first; otherwise, back to higher ones.
 """
 
 from __future__ import annotations
@@ -11,154 +11,122 @@
 from random import Random
 
 from loadbalancer.events import IncomingRequest
-from loadbalancer.policy.endpoints import EndpointSet
-from loadbalancer.policy.load_estimator import LoadEstimator, PoolLoad
+from loadbalancer.policy.completion_rate import CompletionRate
+from loadbalancer.policy.cursor_table import CursorTable, cursor_period_ms
+from loadbalancer.policy.endpoint_set import EndpointSet
+from loadbalancer.policy.latency_baseline import LatencyBaseline
+from loadbalancer.policy.load_estimator import PoolLoad
 from loadbalancer.policy.parameters import (
     FULL_THRESHOLD_DEVIATIONS,
-    FULL_THRESHOLD_POSITIONS,
-    HIGHEST_ROW_EXPONENT,
-    LOWEST_ROW_REDUCTION,
-    MAX_CALLS_PER_ENDPOINT,
-    MIN_CALLS_PER_ENDPOINT,
-    MIN_PRIORITY_WEIGHT,
-    MIN_THRESHOLD,
-    PRIORITY_ROW_HALVINGS,
-    REDUCED_THRESHOLD_POSITIONS,
+    FULL_THRESHOLD_LATENCY_FRACTION,
+    MAX_IN_FLIGHT_PER_ENDPOINT,
+    MIN_IN_FLIGHT_PER_ENDPOINT,
     RETRY_PRIORITY_FACTOR,
-    SMOOTHING_OUTCOMES,
-    STARTUP_CALLS_PER_ENDPOINT,
-    TARGET_CALLS_PER_ENDPOINT,
-    THRESHOLD_DECAY,
+    STARTUP_IN_FLIGHT_PER_ENDPOINT,
 )
+from loadbalancer.policy.tenant_quota import quotas_by_tenant
 from loadbalancer.settings import ServiceClass, Settings
 
 
-class CursorTable:
-    """A table of thresholds by position and priority row, and the cursor that load moves over it.
+class FullThreshold:
+    """The attempts in flight that this proxy may have while the pool is not overloaded.
 
-    Attributes:
-        cursor: the position in force; 0, at the left, admits the most.
-        position_factors: each position's threshold over the full one, before its row's exponent.
+    Derived from what the pool sustains, within bounds per endpoint.
     """
 
-    def __init__(self) -> None:
-        self.cursor = 0
-        self.position_factors = [1.0] * FULL_THRESHOLD_POSITIONS
-        self.position_factors += [
-            THRESHOLD_DECAY**position for position in range(1, REDUCED_THRESHOLD_POSITIONS + 1)
-        ]
-        self._outcomes_since_right = SMOOTHING_OUTCOMES  # since the cursor last moved right
-
-    def move(self, pool_load: PoolLoad) -> None:
-        """Move the cursor by the load of a period: right over the target, left up to it."""
-        self._outcomes_since_right += pool_load.outcomes
-        move = 1 if pool_load.target_ratio > 1.0 else -1
-        if move > 0 and not pool_load.latency_saturated:
-            # Guard: answers tell of calls sent before; where few come in a period, the cursor went 6 to 10
-            # positions right before the first one showed, at all replicas alike, and endpoints stood half
-            # empty. So a move is given as many outcomes as the smoothed latency remembers. It covers any late
-            # sign of load, and hurts where load grows faster than answers come: saturation doesn't wait.
-            has_outcomes = self._outcomes_since_right >= SMOOTHING_OUTCOMES
-            move = int(has_outcomes or pool_load.calls_per_endpoint > TARGET_CALLS_PER_ENDPOINT)
-        if move > 0:
-            self._outcomes_since_right = 0.0
-        self.cursor = max(0, min(len(self.position_factors) - 1, self.cursor + move))
-
-    def threshold(self, full_threshold: float, priority_weight: float) -> float:
-        """The calls in flight at the cursor, in the row of this weight (1: the highest)."""
-        halvings = -math.log2(max(priority_weight, MIN_PRIORITY_WEIGHT))
-        row = min(1.0, max(0.0, halvings / PRIORITY_ROW_HALVINGS))  # 0: the highest, 1: the lowest
-        exponent = HIGHEST_ROW_EXPONENT + (1.0 - HIGHEST_ROW_EXPONENT) * row
-        row_threshold = full_threshold * (1.0 - LOWEST_ROW_REDUCTION * row)
-        return max(MIN_THRESHOLD, row_threshold * math.pow(self.position_factors[self.cursor], exponent))
-
-
-class TenantQuota:
-    """A token bucket that holds one second of a tenant's quota at this replica."""
-
-    def __init__(self, quota_per_s: float, now_ms: float) -> None:
-        self._quota_per_s = quota_per_s
-        self._tokens = quota_per_s
-        self._refilled_ms = now_ms
-
-    def take(self, now_ms: float) -> bool:
-        """Take a token for a request; whether there was one."""
-        refill = self._quota_per_s * (now_ms - self._refilled_ms) / 1000.0
-        self._tokens = min(self._quota_per_s, self._tokens + refill)
-        self._refilled_ms = now_ms
-        if self._tokens < 1.0:
-            return False
-        self._tokens -= 1.0
-        return True
+    def __init__(
+        self,
+        replicas: int,
+        endpoints: EndpointSet,
+        latency: LatencyBaseline,
+        completion_rate: CompletionRate,
+    ) -> None:
+        self._replicas = replicas
+        self._endpoints = endpoints
+        self._latency = latency
+        self._completion_rate = completion_rate
+
+    def value(self, ready_count: int) -> float:
+        """The threshold with this number of ready endpoints, as a weight in flight."""
+        # Guard: a minimum of one attempt per replica added up to a threshold that never took effect. All
+        # replicas share the minimum. Trade-off: it can be less than one attempt.
+        is_starting = self._completion_rate.is_starting()
+        minimum = STARTUP_IN_FLIGHT_PER_ENDPOINT if is_starting else MIN_IN_FLIGHT_PER_ENDPOINT
+        latency_fraction = self._latency.between_baseline_and_objective(FULL_THRESHOLD_LATENCY_FRACTION)
+        sustainable = self._completion_rate.sustainable_in_flight(latency_fraction)
+        in_flight = max(sustainable, ready_count * minimum / self._replicas)
+        if self._endpoints.reports_in_flight():
+            in_flight = min(in_flight, ready_count * MAX_IN_FLIGHT_PER_ENDPOINT / self._replicas)
+        return in_flight + FULL_THRESHOLD_DEVIATIONS * math.sqrt(in_flight)
 
 
 class AdmissionControl:
-    """Admits or rejects requests by priority weight and calls in flight."""
+    """Admits or rejects requests by priority weight and attempts in flight."""
 
     def __init__(
         self,
         settings: Settings,
         random: Random,
         endpoints: EndpointSet,
-        load_estimator: LoadEstimator,
+        full_threshold: FullThreshold,
         now_ms: float,
     ) -> None:
         self._settings = settings
         self._random = random
         self._endpoints = endpoints
-        self._load_estimator = load_estimator
+        self._full_threshold = full_threshold
+        self._quotas = quotas_by_tenant(settings, now_ms)
+        self._period_ms = cursor_period_ms(settings)
         self._max_priority_weight = (
             max(service_class.priority_weight for service_class in settings.classes) or 1.0
         )
-        self._quotas = _quotas_by_tenant(settings, now_ms)
-        self.table = CursorTable()
+        self._table = CursorTable()
 
-    def admits(self, now_ms: float, request: IncomingRequest, service_class: ServiceClass) -> bool:
-        """Whether the request stays under the threshold of its row; takes a token of its tenant's quota."""
+    @property
+    def cursor(self) -> int:
+        """The position of the cursor in its table; 0 admits the most."""
+        return self._table.cursor
+
+    @property
+    def last_position(self) -> int:
+        """The position of the cursor that admits the least."""
+        return self._table.last_position
+
+    def move_cursor(self, pool_load: PoolLoad) -> None:
+        """Move the cursor by the load of the period that ends."""
+        self._table.move(pool_load)
+
+    def admit(self, now_ms: float, request: IncomingRequest, service_class: ServiceClass) -> bool:
+        """Decide whether a request is admitted; takes a token from its tenant's quota."""
         in_flight = self._endpoints.in_flight()
-        priority_weight = self.priority_weight(now_ms, request, service_class)
+        within_quota = self.take_quota_token(now_ms, request.tenant)
+        priority_weight = self.priority_weight(request, service_class, within_quota=within_quota)
         remaining = self.threshold(priority_weight, len(self._endpoints.ready)) - in_flight
-        # Guard: one call from each of hundreds of replicas kept congestion alive, so a fraction is drawn.
+        # Guard: one attempt from each of hundreds of replicas kept the pool congested. What remains below one
+        # attempt is therefore the chance that the request is admitted. Trade-off: at very low thresholds,
+        # admission of a single request is random.
         return remaining >= 1.0 or self._random.random() < remaining
 
-    def priority_weight(self, now_ms: float, request: IncomingRequest, service_class: ServiceClass) -> float:
-        """The request's weight over the highest class's, less for retries and over the tenant's quota."""
+    def take_quota_token(self, now_ms: float, tenant: str | None) -> bool:
+        """Take a token from a tenant's quota; returns whether its request is within the quota."""
+        quota = self._quotas.get(tenant or "")
+        return quota is None or quota.take_token(now_ms)
+
+    def priority_weight(
+        self, request: IncomingRequest, service_class: ServiceClass, *, within_quota: bool
+    ) -> float:
+        """The weight of a request over the highest class's; lower for retries and over the tenant's quota."""
         weight = service_class.priority_weight / self._max_priority_weight
         if request.is_retry:
             weight *= RETRY_PRIORITY_FACTOR
-        quota = self._quotas.get(request.tenant or "")
-        if quota is not None and not quota.take(now_ms):
-            weight *= self._settings.over_quota_weight
-        return weight
+        return weight if within_quota else weight * self._settings.over_quota_weight
 
     def threshold(self, priority_weight: float, ready_count: int) -> float:
-        """The threshold in force for a priority weight over so many ready endpoints."""
-        return self.table.threshold(self._full_threshold(ready_count), priority_weight)
+        """The threshold in force for a priority weight with this number of ready endpoints."""
+        return self._table.threshold(self._full_threshold.value(ready_count), priority_weight)
 
     def retry_after_ms(self) -> float:
-        """The Retry-After of a rejection, longer the less is admitted; 0 for none."""
+        """The Retry-After of a rejection, which grows with the cursor's position; 0 to send none."""
         if not self._settings.sends_retry_after or self._settings.tier != 0:
             return 0.0
-        recovery_ms = self._load_estimator.period_ms * self.table.cursor
-        return min(self._settings.max_retry_after_ms, recovery_ms)
-
-    def _full_threshold(self, ready_count: int) -> float:
-        # Guard: all replicas share the minimum; one for each replica summed to a threshold that never bound.
-        is_starting = self._load_estimator.is_starting()
-        min_calls = STARTUP_CALLS_PER_ENDPOINT if is_starting else MIN_CALLS_PER_ENDPOINT
-        calls = max(
-            self._load_estimator.sustainable_calls(), ready_count * min_calls / self._settings.replicas
-        )
-        if self._endpoints.reports_in_flight:
-            calls = min(calls, ready_count * MAX_CALLS_PER_ENDPOINT / self._settings.replicas)
-        return calls + FULL_THRESHOLD_DEVIATIONS * math.sqrt(calls)
-
-
-def _quotas_by_tenant(settings: Settings, now_ms: float) -> dict[str, TenantQuota]:
-    """Quotas count at the tier that clients reach, and nowhere else."""
-    if settings.tier != 0:
-        return {}
-    return {
-        tenant.name: TenantQuota(tenant.quota_per_s / settings.replicas, now_ms)
-        for tenant in settings.tenants
-    }
+        return min(self._settings.max_retry_after_ms, self._period_ms * self._table.cursor)
--- /dev/null
+++ b/loadbalancer/policy/latency_baseline.py
@@ -0,0 +1,103 @@
+"""Learned latencies: the mean of each service class, and the pool's latency with its quiet baseline.
+
+A latency fraction is a latency over the latency objective of its service class, so that the latencies of
+different classes can be compared.
+"""
+
+from __future__ import annotations
+
+from loadbalancer.policy.parameters import (
+    BASELINE_GAIN_DOWN,
+    BASELINE_GAIN_UP,
+    CLASS_GAIN,
+    DEFAULT_BASELINE,
+    MIN_BASELINE_OUTCOMES,
+    SATURATED_LATENCY_FRACTION,
+    SMOOTHING_OUTCOMES,
+)
+
+
+def upper_median(values: list[float]) -> float | None:
+    """The upper median, which one outlier does not move; None without values."""
+    return sorted(values)[len(values) // 2] if values else None
+
+
+class ClassLatency:
+    """The smoothed latency of each service class over all endpoints, from successful attempts."""
+
+    def __init__(self) -> None:
+        self._mean_ms: dict[str, float] = {}
+
+    def mean_ms(self, service_class: str) -> float | None:
+        """The mean latency of a class; None before its first response."""
+        return self._mean_ms.get(service_class)
+
+    def relative(self, service_class: str, latency_ms: float) -> float:
+        """A latency over the mean of its class; 1 before the first response."""
+        mean_ms = self._mean_ms.get(service_class)
+        return latency_ms / mean_ms if mean_ms else 1.0
+
+    def observe(self, service_class: str, latency_ms: float) -> None:
+        """Update the mean of a class with the latency of a successful attempt."""
+        mean_ms = self._mean_ms.get(service_class, latency_ms)
+        self._mean_ms[service_class] = mean_ms + CLASS_GAIN * (latency_ms - mean_ms)
+
+
+class LatencyBaseline:
+    """Learns the smoothed latency fraction of the pool and its quiet baseline, once per period."""
+
+    def __init__(self) -> None:
+        self._fraction = 0.0  # smoothed
+        self._baseline: float | None = None  # the fraction while the pool is quiet
+        self._first_fractions: list[float] = []  # the first ones, whose median is the first baseline
+        self._period_fractions: list[float] = []  # those of the current period
+
+    @property
+    def fraction(self) -> float:
+        """The smoothed latency fraction; 0 before the first measurement."""
+        return self._fraction
+
+    def is_known(self) -> bool:
+        """Whether a latency has been measured since the start."""
+        return self._baseline is not None
+
+    def is_measured(self) -> bool:
+        """Whether a latency has been measured in the current period."""
+        return bool(self._period_fractions)
+
+    def is_saturated(self) -> bool:
+        """Whether the smoothed latency is so close to the objective that the pool is saturated."""
+        return self._fraction > SATURATED_LATENCY_FRACTION
+
+    def between_baseline_and_objective(self, part: float) -> float:
+        """The latency fraction at a part of the way from the baseline (0) to the objective (1)."""
+        baseline = DEFAULT_BASELINE if self._baseline is None else self._baseline
+        return baseline + part * (1.0 - baseline)
+
+    def observe(self, fraction: float) -> None:
+        """Add the latency fraction of an attempt to the current period."""
+        self._period_fractions.append(fraction)
+
+    def learn(self, cursor_position: int) -> None:
+        """Update the smoothed fraction and the baseline from the current period."""
+        fractions = self._period_fractions
+        if not fractions:
+            return
+        # Guard: classes differ in their quiet latency over the objective, and short attempts end first. A
+        # baseline from one early outcome was a third too low, and an idle pool counted as overloaded until
+        # the restart. The first baseline is therefore the median of `MIN_BASELINE_OUTCOMES` outcomes or more.
+        # Trade-off: load that is there from the start enters the first baseline.
+        if self._baseline is None or len(self._first_fractions) < MIN_BASELINE_OUTCOMES:
+            self._first_fractions += fractions
+            self._baseline = self._fraction = upper_median(self._first_fractions) or 0.0
+            return
+        weight = len(fractions) / (len(fractions) + SMOOTHING_OUTCOMES)  # few outcomes prove little
+        self._fraction += weight * ((upper_median(fractions) or 0.0) - self._fraction)
+        if self._fraction < self._baseline:
+            self._baseline += BASELINE_GAIN_DOWN * (self._fraction - self._baseline)
+        elif cursor_position == 0:  # the baseline never rises under load
+            self._baseline += BASELINE_GAIN_UP * (self._fraction - self._baseline)
+
+    def start_period(self) -> None:
+        """Start a new period without measurements."""
+        self._period_fractions = []
--- /dev/null
+++ b/loadbalancer/policy/load_signals.py
@@ -0,0 +1,124 @@
+"""The four signals of the pool's load: latency, utilisation, requests in flight and rejections.
+
+Each signal is a ratio to its target: 1 is at the target, and 0 means that the signal says nothing.
+"""
+
+from __future__ import annotations
+
+from loadbalancer.events import AttemptResult
+from loadbalancer.policy.endpoint_set import EndpointSet
+from loadbalancer.policy.latency_baseline import LatencyBaseline, upper_median
+from loadbalancer.policy.parameters import (
+    CONGESTED_TARGET_LATENCY_FRACTION,
+    CONGESTION_IN_FLIGHT_PER_ENDPOINT,
+    MAX_REPLICAS_WITHOUT_MARGIN,
+    TARGET_IN_FLIGHT_PER_ENDPOINT,
+    TARGET_LATENCY_FRACTION,
+    TARGET_REJECTED_FRACTION,
+    TARGET_UTILISATION,
+    UTILISATION_MARGIN,
+    UTILISATION_TARGET_LATENCY_FRACTION,
+)
+from loadbalancer.policy.tracked_endpoint import TrackedEndpoint
+
+
+class OutcomeCounter:
+    """Counts the outcomes of the current period and the rejections among them."""
+
+    def __init__(self, *, is_entry_tier: bool) -> None:
+        self._is_entry_tier = is_entry_tier
+        self._outcomes = 0
+        self._rejected = 0
+
+    @property
+    def outcomes(self) -> int:
+        """The outcomes of the current period, without cancelled attempts and those that were not sent."""
+        return self._outcomes
+
+    def observe(self, result: AttemptResult) -> None:
+        """Count the result of an attempt."""
+        self._outcomes += 1
+        # Guard: when a tier below rejects, the entry tier sees errors only and used to go on sending. Errors
+        # therefore count as rejections there. Trade-off: faulty endpoints look overloaded.
+        if result is AttemptResult.REJECTED or (result is AttemptResult.ERROR and self._is_entry_tier):
+            self._rejected += 1
+
+    def rejection_load(self) -> float:
+        """The signal of rejections: their fraction of the period's outcomes."""
+        return self._rejected / self._outcomes / TARGET_REJECTED_FRACTION if self._outcomes else 0.0
+
+    def start_period(self) -> None:
+        """Start a new period without outcomes."""
+        self._outcomes = 0
+        self._rejected = 0
+
+
+def reported_in_flight_per_endpoint(endpoints: EndpointSet, reporting: list[TrackedEndpoint]) -> float:
+    """Mean weight in flight at an endpoint from all proxies, by load reports; 0 without such reports."""
+    if not reporting or not endpoints.reports_in_flight():
+        return 0.0
+    return sum([endpoint.reported_queue + endpoint.in_flight for endpoint in reporting]) / len(reporting)
+
+
+def reported_utilisation(reporting: list[TrackedEndpoint]) -> float | None:
+    """The median of the reported utilisations; None without any."""
+    return upper_median([endpoint.utilisation for endpoint in reporting if endpoint.utilisation is not None])
+
+
+def utilisation_load(utilisation: float | None, target: float) -> float:
+    """The signal of utilisation, whose target is from `target_utilisation`."""
+    return 0.0 if utilisation is None else utilisation / target
+
+
+def target_utilisation(replicas: int) -> float:
+    """The target of the median utilisation.
+
+    Guard: with many replicas load is uneven. Endpoints above the median were saturated one by one while the
+    median was below 0.97. The target falls with the number of replicas. Trade-off: a little capacity
+    is left unused where load is even.
+    """
+    return TARGET_UTILISATION - UTILISATION_MARGIN * (1.0 - min(1.0, MAX_REPLICAS_WITHOUT_MARGIN / replicas))
+
+
+def in_flight_load(in_flight_per_endpoint: float) -> float:
+    """The signal of requests in flight.
+
+    Guard: a response reports the load at the time when its attempt was sent, so that endpoints used to be
+    saturated before latency rose. Counts in flight show the present load.
+    """
+    return in_flight_per_endpoint / TARGET_IN_FLIGHT_PER_ENDPOINT
+
+
+def latency_load(
+    latency: LatencyBaseline, endpoints: EndpointSet, utilisation: float | None, replicas: int
+) -> float:
+    """The signal of latency: the smoothed fraction over its target.
+
+    Guard: with less than one response per period, each period without a response used to move the cursor
+    left, and congestion stayed. A saturated latency counts without new responses while attempts are in
+    flight.
+    """
+    if not latency.is_known():
+        return 0.0
+    if not latency.is_measured() and not (latency.is_saturated() and _has_attempt_in_flight(endpoints)):
+        return 0.0
+    target_part = _target_latency_part(endpoints, utilisation, replicas)
+    return latency.fraction / latency.between_baseline_and_objective(target_part)
+
+
+def _has_attempt_in_flight(endpoints: EndpointSet) -> bool:
+    return any(endpoint.in_flight > 0.0 for endpoint in endpoints.ready)
+
+
+def _target_latency_part(endpoints: EndpointSet, utilisation: float | None, replicas: int) -> float:
+    """The target of latency as a part of the way from the quiet baseline to the objective.
+
+    Guard: a strict target over few outcomes shed load that endpoints had capacity for; a loose one let
+    congested endpoints become slow. The target is strict only while endpoints may be congested. The other
+    replicas are assumed to have as many attempts in flight as this one.
+    """
+    if utilisation is not None:
+        return UTILISATION_TARGET_LATENCY_FRACTION
+    if replicas * endpoints.in_flight() >= CONGESTION_IN_FLIGHT_PER_ENDPOINT * len(endpoints.ready):
+        return CONGESTED_TARGET_LATENCY_FRACTION
+    return TARGET_LATENCY_FRACTION
--- a/loadbalancer/policy/policy.py
+++ b/loadbalancer/policy/policy.py
@@ -1,9 +1,13 @@
-"""The policy: the events of loadbalancer/events.py in, the actions of loadbalancer/actions.py out.
+"""The policy: takes the events of loadbalancer/events.py and returns the actions of loadbalancer/actions.py.
 
-Sans-I/O: `LoadBalancingPolicy.handle(now_ms, event)` returns actions; it reads no clock and no globals, and
-has a seeded random source of its own. Admission is by a cursor table (admission.py); an admitted request goes
-to the best ranked of a few sampled endpoints (selection.py). Exceptions to this ordinary path are marked
-`Guard:`, with the failure that each answers.
+Each request is admitted or rejected on arrival: a cursor, which the pool's load moves once per period,
+selects the number of attempts that the proxy may have in flight at the request's priority (admission.py). An
+admitted request goes to the best ranked of three endpoints sampled by capacity (selection.py), and is retried
+elsewhere only where a second execution does no harm (retry_rules.py).
+
+The policy does no I/O: `LoadBalancingPolicy.handle(now_ms, event)` depends on the events so far, their times
+and the seed, and on nothing else. A `Guard:` comment marks a departure from the simplest design: the failure
+it prevents, how, and the trade-off.
 """
 
 from __future__ import annotations
@@ -23,129 +27,135 @@
     TimerFired,
     UpdateKind,
 )
-from loadbalancer.policy.admission import AdmissionControl
+from loadbalancer.policy.admission import AdmissionControl, FullThreshold
+from loadbalancer.policy.completion_rate import CompletionRate
+from loadbalancer.policy.cursor_table import cursor_period_ms
 from loadbalancer.policy.discovery_backoff import DiscoveryBackoff
-from loadbalancer.policy.endpoints import EndpointSet
+from loadbalancer.policy.endpoint_set import EndpointSet
+from loadbalancer.policy.latency_baseline import ClassLatency, LatencyBaseline
 from loadbalancer.policy.load_estimator import LoadEstimator
-from loadbalancer.policy.parameters import CURSOR_PERIOD_FRACTION
-from loadbalancer.policy.requests import RequestTracker
+from loadbalancer.policy.load_signals import OutcomeCounter
+from loadbalancer.policy.outcome_recorder import OutcomeRecorder
+from loadbalancer.policy.request_tracker import RequestTracker
 from loadbalancer.policy.selection import EndpointSelector
 from loadbalancer.policy.slow_start import SlowStart
 from loadbalancer.settings import Settings
 
-# Names of timers, which stand on the wire.
+# Names of timers, which appear on the simulator's wire.
 PERIOD_TIMER = "period"
 WATCH_TIMER = "watch"
 
 
 class LoadBalancingPolicy:
-    """Decides for one proxy which requests are admitted, where they are sent, and how they are answered.
+    """Decides for one proxy which requests are admitted, where their attempts go, and how they end.
 
     Attributes:
         settings: as given.
-        period_ms: the time between two estimates of the load.
-        endpoints: the listed endpoints and what is known of them.
+        period_ms: the time between two moves of the cursor.
+        endpoints: the listed endpoints and their state.
+        class_latency: the mean latency of each service class.
+        latency: the pool's smoothed latency and its quiet baseline.
+        completion_rate: the rate of completed attempts.
+        outcome_counter: the outcomes of the current period.
+        outcome_recorder: passes each outcome to the above.
         load_estimator: the load of the pool.
         slow_start: the capacity of warming endpoints.
-        selector: picks the endpoint of an attempt.
+        selector: selects the endpoint of an attempt.
         admission: the cursor table and tenants' quotas.
         requests: open requests and their attempts.
-        discovery_backoff: when a failed watch is tried again.
     """
 
     def __init__(self, settings: Settings, seed: int, now_ms: float) -> None:
         random = Random(seed)
-        shortest_objective_ms = min(item.latency_objective_ms for item in settings.classes)
         self.settings = settings
-        self.period_ms = CURSOR_PERIOD_FRACTION * shortest_objective_ms
+        self.period_ms = cursor_period_ms(settings)
         self.endpoints = EndpointSet(uses_capacity=settings.uses_capacity)
-        self.load_estimator = LoadEstimator(settings, self.period_ms)
-        self.slow_start = SlowStart(settings, random, now_ms)
+        self.class_latency = ClassLatency()
+        self.latency = LatencyBaseline()
+        self.completion_rate = CompletionRate(settings, self.period_ms)
+        self.outcome_counter = OutcomeCounter(is_entry_tier=settings.tier == 0)
+        self.outcome_recorder = OutcomeRecorder(
+            self.class_latency, self.latency, self.completion_rate, self.outcome_counter
+        )
+        self.load_estimator = LoadEstimator(
+            settings.replicas, self.endpoints, self.latency, self.outcome_counter
+        )
+        self.slow_start = SlowStart(settings, random, self.endpoints, now_ms)
+        full_threshold = FullThreshold(settings.replicas, self.endpoints, self.latency, self.completion_rate)
+        self.admission = AdmissionControl(settings, random, self.endpoints, full_threshold, now_ms)
         self.selector = EndpointSelector(
-            settings, random, self.endpoints, self.load_estimator, self.slow_start
+            settings, random, self.endpoints, self.class_latency, self.slow_start
         )
-        self.admission = AdmissionControl(settings, random, self.endpoints, self.load_estimator, now_ms)
         self.requests = RequestTracker(
-            settings, self.endpoints, self.load_estimator, self.selector, self.admission
+            settings, self.endpoints, self.admission, self.selector, self.outcome_recorder
         )
-        self.discovery_backoff = DiscoveryBackoff(random, now_ms)
+        self._discovery_backoff = DiscoveryBackoff(random, now_ms)
         self._started = False
 
     @property
     def cursor(self) -> int:
         """The position of the cursor in its table, for statistics; 0 admits the most."""
-        return self.admission.table.cursor
+        return self.admission.cursor
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
         """Take one event; returns the actions for the host to carry out, in this order.
 
-        Times never go back from one call to the next. The first call also starts the policy's own timer and,
-        where discovery is polled, its watch.
+        Time never goes back between events. The first event also starts the policy's own timer and, where
+        discovery is polled, its watch.
         """
-        actions: list[Action] = []
         if not self._started:
-            self._start(now_ms, actions)
+            return [*self._start(now_ms), *self.handle(now_ms, event)]
+        actions: list[Action] = []
         match event:
             case IncomingRequest():
-                self._on_request(now_ms, event, actions)
+                actions = self.requests.receive(now_ms, event)
             case AttemptOutcome():
-                self._on_outcome(now_ms, event, actions)
+                self.endpoints.observe_load_report(now_ms, event.endpoint, event.load_report)
+                actions = self.requests.finish_attempt(now_ms, event)
             case TimerFired():
-                self._on_timer(now_ms, event, actions)
+                actions = self._on_timer(now_ms, event)
             case MembershipUpdate():
-                self._on_membership(now_ms, event, actions)
+                actions = self._on_membership(now_ms, event)
             case ClientDisconnected():
-                self.requests.disconnect(event.request_id, actions)
+                actions = self.requests.disconnect(event.request_id)
             case ResponseStarted():
-                self.requests.start_response(event.request_id, event.attempt, actions)
+                actions = self.requests.start_response(event.request_id, event.attempt)
             case ShutdownStarted():
                 self.requests.drain()
             case HealthChecked():
                 self.endpoints.observe_load_report(now_ms, event.endpoint, event.load_report)
         return actions
 
-    def _start(self, now_ms: float, actions: list[Action]) -> None:
+    def _start(self, now_ms: float) -> list[Action]:
         self._started = True
-        actions.append(StartTimer(self.period_ms, PERIOD_TIMER))
-        if self.settings.polls_discovery:
-            self._watch(now_ms, actions)
-
-    def _watch(self, now_ms: float, actions: list[Action]) -> None:
-        self.discovery_backoff.call_started(now_ms)
-        actions.append(StartWatch())
-
-    def _on_request(self, now_ms: float, request: IncomingRequest, actions: list[Action]) -> None:
-        state = self.requests.receive(now_ms, request)
-        if self.admission.admits(now_ms, request, state.service_class):
-            self.requests.send_or_answer(now_ms, state, actions)
-        else:
-            self.requests.answer(state, actions)
-
-    def _on_outcome(self, now_ms: float, outcome: AttemptOutcome, actions: list[Action]) -> None:
-        self.endpoints.observe_load_report(now_ms, outcome.endpoint, outcome.load_report)
-        self.requests.finish_attempt(now_ms, outcome, actions)
-
-    def _on_timer(self, now_ms: float, timer: TimerFired, actions: list[Action]) -> None:
+        timer = StartTimer(self.period_ms, PERIOD_TIMER)
+        return [timer, *self._start_watch(now_ms)] if self.settings.polls_discovery else [timer]
+
+    def _on_timer(self, now_ms: float, timer: TimerFired) -> list[Action]:
         if timer.name == PERIOD_TIMER:
-            actions.append(StartTimer(self.period_ms, PERIOD_TIMER))
-            self._on_period(now_ms)
-        elif timer.name == WATCH_TIMER:
-            self._watch(now_ms, actions)
+            self._end_period(now_ms)
+            return [StartTimer(self.period_ms, PERIOD_TIMER)]
+        return self._start_watch(now_ms) if timer.name == WATCH_TIMER else []
 
-    def _on_membership(self, now_ms: float, update: MembershipUpdate, actions: list[Action]) -> None:
+    def _on_membership(self, now_ms: float, update: MembershipUpdate) -> list[Action]:
         if update.kind is UpdateKind.UNAVAILABLE:
-            actions.append(StartTimer(self.discovery_backoff.failed(now_ms), WATCH_TIMER))
-            return
-        self.discovery_backoff.succeeded(now_ms, update.kind)
+            return [StartTimer(self._discovery_backoff.observe_failure(now_ms), WATCH_TIMER)]
+        self._discovery_backoff.observe_success(now_ms, update.kind)
         self.endpoints.apply(update)
+        return []
 
-    def _on_period(self, now_ms: float) -> None:
+    def _start_watch(self, now_ms: float) -> list[Action]:
+        self._discovery_backoff.start_request(now_ms)
+        return [StartWatch()]
+
+    def _end_period(self, now_ms: float) -> None:
+        """Learn from the period that ends, and move the cursor by its load."""
         self.endpoints.expire_abandoned(now_ms)
         reporting = self.endpoints.reporting(now_ms)
         self.selector.learn_queues(now_ms, reporting)
-        pool_load = self.load_estimator.estimate(self.endpoints, reporting, self.cursor)
-        self.admission.table.move(pool_load)
-        self.slow_start.learn_usual_rate(
-            now_ms, self.endpoints.ready, self.load_estimator.completed, self.period_ms
-        )
-        self.load_estimator.end_period()
+        self.latency.learn(self.cursor)
+        self.admission.move_cursor(self.load_estimator.estimate(reporting))
+        self.slow_start.learn_usual_rate(now_ms, self.completion_rate.period_weight, self.period_ms)
+        self.completion_rate.end_period()
+        self.latency.start_period()
+        self.outcome_counter.start_period()
--- /dev/null
+++ b/loadbalancer/policy/request_state.py
@@ -0,0 +1,57 @@
+"""The state of one open request."""
+
+from __future__ import annotations
+
+from loadbalancer.events import IncomingRequest
+from loadbalancer.policy.attempts import AttemptState
+from loadbalancer.policy.tracked_endpoint import TrackedEndpoint
+from loadbalancer.settings import ServiceClass
+
+
+class RequestState:
+    """One open request and its attempts, written by the request tracker only.
+
+    Attributes:
+        request: the event that brought the request.
+        service_class: its service class.
+        received_ms: when it arrived.
+        weight: what an attempt for it counts in flight.
+        attempts: all attempts, by number.
+        tried_endpoints: the endpoint of each attempt, by the same number.
+        done: whether the final response is given or no longer due.
+        streaming: whether a streamed response has begun.
+    """
+
+    __slots__ = (
+        "attempts",
+        "done",
+        "received_ms",
+        "request",
+        "service_class",
+        "streaming",
+        "tried_endpoints",
+        "weight",
+    )
+
+    def __init__(
+        self, request: IncomingRequest, service_class: ServiceClass, received_ms: float, weight: float
+    ) -> None:
+        self.request = request
+        self.service_class = service_class
+        self.received_ms = received_ms
+        self.weight = weight
+        self.attempts: list[AttemptState] = []
+        self.tried_endpoints: list[TrackedEndpoint] = []
+        self.done = False
+        self.streaming = False
+
+    def has_attempt_in_flight(self) -> bool:
+        """Whether the outcome of an attempt is still due."""
+        return any([attempt.result is None for attempt in self.attempts])
+
+    def first_possibly_executed(self) -> int | None:
+        """The number of the first attempt that may have been executed or may still be; None without any."""
+        for number, attempt in enumerate(self.attempts):
+            if attempt.result is None or not attempt.result.not_processed:
+                return number
+        return None
--- a/loadbalancer/policy/selection.py
+++ b/loadbalancer/policy/selection.py
@@ -1,14 +1,14 @@
-"""Selection: endpoints are sampled by capacity, and the best ranked of the sample gets the attempt."""
+"""Endpoint selection: a few candidates are sampled by capacity, and the best ranked one gets the attempt."""
 
 from __future__ import annotations
 
 import math
 from random import Random
 
-from loadbalancer.policy.endpoints import EndpointSet, TrackedEndpoint
-from loadbalancer.policy.load_estimator import LoadEstimator
+from loadbalancer.policy.endpoint_set import EndpointSet
+from loadbalancer.policy.latency_baseline import ClassLatency
 from loadbalancer.policy.parameters import (
-    CROSS_ZONE_CALLS,
+    CROSS_ZONE_ATTEMPTS,
     FAILURE_DECAY_MS,
     FAILURE_EXPONENT,
     LATENCY_DECAY_MS,
@@ -18,52 +18,55 @@
     SAMPLED_ENDPOINTS,
 )
 from loadbalancer.policy.slow_start import SlowStart
+from loadbalancer.policy.tracked_endpoint import TrackedEndpoint
 from loadbalancer.settings import Settings
 
 
 class EndpointSelector:
-    """Power of d choices over the endpoints that may get an attempt."""
+    """Selects the endpoint of an attempt by the power of d choices."""
 
     def __init__(
         self,
         settings: Settings,
         random: Random,
         endpoints: EndpointSet,
-        load_estimator: LoadEstimator,
+        class_latency: ClassLatency,
         slow_start: SlowStart,
     ) -> None:
         self._random = random
         self._endpoints = endpoints
-        self._load_estimator = load_estimator
+        self._class_latency = class_latency
         self._slow_start = slow_start
         self._zone = settings.zone
-        self._cross_zone_calls = CROSS_ZONE_CALLS * settings.cross_zone_price
-        # The queue taken for a mean endpoint, once warmed up, that has not reported lately.
+        self._cross_zone_attempts = CROSS_ZONE_ATTEMPTS * settings.cross_zone_price
+        # The queue assumed at a warmed-up endpoint of mean capacity that has not reported lately.
         self._assumed_queue = 0.0
 
     def select(
         self, now_ms: float, candidates: list[TrackedEndpoint], service_class: str, weight: float
     ) -> TrackedEndpoint | None:
-        """The endpoint for an attempt, or None if there is none that may get it."""
+        """The endpoint for an attempt; None if no candidate may get it."""
         if not candidates:
             return None
         current_capacity = self._slow_start.current_capacity
         capacities = [current_capacity(now_ms, endpoint) for endpoint in candidates]
         sampled, sampled_capacity = candidates, 0.0
         if len(candidates) > SAMPLED_ENDPOINTS:
-            # Guard: ranked over a large tier by the same late reports, all replicas chose the same endpoint.
+            # Guard: all replicas that ranked a whole large pool by the same outdated load reports selected
+            # the same endpoint. Each ranks a random sample only. Trade-off: the best endpoint is often not in
+            # the sample.
             sampled = list(dict.fromkeys(self._random.choices(candidates, capacities, k=SAMPLED_ENDPOINTS)))
             sampled_capacity = sum(capacities)
-        admitted = self._admitted(now_ms, sampled, sampled_capacity, weight)
+        admitted = self._slow_start.draw_admitted(now_ms, sampled, sampled_capacity, weight)
         if not admitted:
             admitted = [item for item in candidates if self._slow_start.is_warmed_up(now_ms, item)]
         return min(admitted, key=lambda endpoint: self._rank(now_ms, endpoint, service_class), default=None)
 
     def learn_queues(self, now_ms: float, reporting: list[TrackedEndpoint]) -> None:
-        """Take the mean queue of the endpoints that have reported lately for that of the others."""
-        # Guard: without regard to capacity, the smallest endpoints of a sample looked emptiest, and at size,
-        # where most have not reported, got several times their share: they were saturated beside large ones
-        # with nothing to do.
+        """Assume the mean queue of the endpoints that have reported lately at the others, by capacity."""
+        # Guard: when the assumed queue ignored capacity, the smallest endpoints of a sample looked least
+        # loaded. In large pools, where most endpoints have not reported, they got several times their share
+        # and were saturated while large ones were idle. The assumed queue is per capacity.
         capacity = sum([self._slow_start.current_capacity(now_ms, endpoint) for endpoint in reporting])
         if not capacity:
             self._assumed_queue = 0.0
@@ -73,55 +76,44 @@
         reported_queue = sum([endpoint.reported_queue for endpoint in reporting])
         self._assumed_queue = reported_queue / capacity * mean_full_capacity
 
-    def _admitted(
-        self,
-        now_ms: float,
-        sampled: list[TrackedEndpoint],
-        sampled_capacity: float,
-        weight: float,
-    ) -> list[TrackedEndpoint]:
-        """The sampled endpoints that slow start lets have the call."""
-        is_warmed_up = self._slow_start.is_warmed_up
-        if all([is_warmed_up(now_ms, endpoint) for endpoint in sampled]):
-            return sampled
-        pool_capacity = self._slow_start.use_pool_capacity(now_ms, self._endpoints.ready, weight)
-        admits = self._slow_start.admits
-        return [item for item in sampled if admits(now_ms, item, sampled_capacity, pool_capacity)]
-
     def _rank(self, now_ms: float, endpoint: TrackedEndpoint, service_class: str) -> float:
-        """Expected latency times the calls before this one, over the success ratio; the lowest is best."""
-        calls = endpoint.in_flight + self._expected_queue(now_ms, endpoint) + 1.0
-        calls += 0.0 if endpoint.listed.zone == self._zone else self._cross_zone_calls
-        cost = self._expected_latency(now_ms, endpoint) * calls
+        """Expected latency times the queue position, over the success ratio; the lowest rank is the best."""
+        position = endpoint.in_flight + self._expected_queue(now_ms, endpoint) + 1.0
+        position += 0.0 if endpoint.listed.zone == self._zone else self._cross_zone_attempts
+        cost = self._expected_latency(now_ms, endpoint) * position
         cost /= self._success_factor(now_ms, endpoint, service_class)
         return cost * (1.0 + RANK_JITTER * (self._random.random() - 0.5))
 
     def _expected_latency(self, now_ms: float, endpoint: TrackedEndpoint) -> float:
-        """Latency over the mean of its class; without answers it nears the mean of the others, which is 1."""
+        """Latency over the mean of the class; without new measurements it decays to the mean, which is 1."""
         expected = 1.0
         if endpoint.relative_latency is not None:
-            decay = math.exp((endpoint.answered_ms - now_ms) / LATENCY_DECAY_MS)
+            decay = math.exp((endpoint.measured_ms - now_ms) / LATENCY_DECAY_MS)
             expected += (endpoint.relative_latency - 1.0) * decay
         if endpoint.outstanding:
-            # Guard: an endpoint that hangs shows in its oldest unanswered attempt long before a time-out.
-            oldest = next(iter(endpoint.outstanding.values()))
-            if endpoint.answered_ms <= oldest.sent_ms:
-                mean_ms = self._load_estimator.class_latency_ms.get(oldest.service_class)
+            # Guard: an endpoint that accepts attempts and never responds kept its good rank until the first
+            # time-outs. The age of its oldest outstanding attempt counts as its latency if nothing was
+            # measured since. Trade-off: one slow attempt lowers the rank of an endpoint without other
+            # traffic.
+            oldest = next(iter(endpoint.outstanding))
+            if endpoint.measured_ms <= oldest.sent_ms:
+                mean_ms = self._class_latency.mean_ms(oldest.service_class)
                 return max(expected, (now_ms - oldest.sent_ms) / mean_ms) if mean_ms else expected
         return expected
 
     def _expected_queue(self, now_ms: float, endpoint: TrackedEndpoint) -> float:
-        """The reported queue; with the report's age it nears what the others have, by capacity."""
+        """The reported queue, which decays with the age of the report to the assumed one."""
         current_capacity = self._slow_start.current_capacity(now_ms, endpoint)
         assumed = self._assumed_queue * current_capacity / endpoint.full_capacity
         decay = math.exp((endpoint.reported_ms - now_ms) / QUEUE_REPORT_DECAY_MS)
         return assumed + (endpoint.reported_queue - assumed) * decay
 
     def _success_factor(self, now_ms: float, endpoint: TrackedEndpoint, service_class: str) -> float:
-        """The success ratio of a class at an endpoint, bent down so that a failing endpoint is avoided.
+        """A power of the success ratio of a service class at an endpoint.
 
-        Guard: new endpoints failed nine in ten calls of one class at once and served the others. Judged by
-        all classes together they went on getting those calls, which must not be repeated.
+        Guard: new endpoints failed nine in ten attempts of one class at once and served the other classes.
+        With one ratio for all classes they continued to get attempts of that class, which must not be
+        repeated. Each class has its ratio. Trade-off: each class has to meet a fault that all of them share.
         """
         failures = endpoint.failure_ratios.get(service_class)
         if failures is None:
--- /dev/null
+++ b/loadbalancer/policy/tenant_quota.py
@@ -0,0 +1,34 @@
+"""Tenants' quotas, as token buckets."""
+
+from __future__ import annotations
+
+from loadbalancer.settings import Settings
+
+
+class TenantQuota:
+    """A token bucket that holds one second of a tenant's quota at this replica."""
+
+    def __init__(self, quota_per_s: float, now_ms: float) -> None:
+        self._quota_per_s = quota_per_s
+        self._tokens = quota_per_s
+        self._refilled_ms = now_ms
+
+    def take_token(self, now_ms: float) -> bool:
+        """Take the token of a request; returns whether there was one."""
+        refill = self._quota_per_s * (now_ms - self._refilled_ms) / 1000.0
+        self._tokens = min(self._quota_per_s, self._tokens + refill)
+        self._refilled_ms = now_ms
+        if self._tokens < 1.0:
+            return False
+        self._tokens -= 1.0
+        return True
+
+
+def quotas_by_tenant(settings: Settings, now_ms: float) -> dict[str, TenantQuota]:
+    """The quotas of all tenants that have one; quotas apply only at the tier that clients reach."""
+    if settings.tier != 0:
+        return {}
+    return {
+        tenant.name: TenantQuota(tenant.quota_per_s / settings.replicas, now_ms)
+        for tenant in settings.tenants
+    }
--- a/tests/proxy/test_start.py
+++ b/tests/proxy/test_start.py
@@ -39,8 +39,10 @@
         "socket_state",
     },
     "loadbalancer.policy": {
-        *("admission", "discovery_backoff", "endpoints", "load_estimator", "parameters", "policy"),
-        *("requests", "selection", "slow_start"),
+        *("admission", "attempts", "completion_rate", "cursor_table", "discovery_backoff"),
+        *("endpoint_set", "latency_baseline", "load_estimator", "load_signals"),
+        *("outcome_recorder", "parameters", "policy", "request_state", "request_tracker", "retry_rules"),
+        *("selection", "slow_start", "tenant_quota", "tracked_endpoint"),
     },
     "loadbalancer.proxy": {
         *("clock", "config", "connection_pool", "graceful_shutdown", "pending_request", "proxy"),
