--- a/loadbalancer/__init__.py
+++ b/loadbalancer/__init__.py
@@ -1,4 +1,4 @@
-"""Load balancing decisions for services that call services in tiers."""
+"""Overload-aware load balancing for services that send requests to each other in tiers."""
 
 from loadbalancer.policy.policy import LoadBalancingPolicy
 from loadbalancer.settings import Settings
--- a/loadbalancer/actions.py
+++ b/loadbalancer/actions.py
@@ -10,18 +10,18 @@
 
 @dataclass(slots=True)
 class Send:
-    """Send an attempt of a request; its number is the count of the attempts sent before it."""
+    """Send an attempt for a request; its number is the count of the attempts sent before it."""
 
     request_id: str
     endpoint: str  # by name
-    timeout_ms: float = 0.0  # 0: until the client gives up
-    # A connection that comes up later than this must not carry the attempt any more; 0: at any time.
+    timeout_ms: float = 0.0  # 0: until the deadline of the request
+    # A connection that opens later than this after the action must not carry the attempt; 0: no limit.
     max_start_delay_ms: float = 0.0
 
 
 @dataclass(slots=True)
 class Reject:
-    """The final answer of a request that a client may retry without harm."""
+    """The final response to a request that the client may retry without harm."""
 
     request_id: str
     retry_after_ms: float = 0.0
@@ -29,14 +29,14 @@
 
 @dataclass(slots=True)
 class Fail:
-    """The final answer of a request of which nothing is promised: it may have been executed."""
+    """The final response to a request that may have been executed."""
 
     request_id: str
 
 
 @dataclass(slots=True)
 class Cancel:
-    """Stop an attempt that is in flight; its outcome is still due."""
+    """Stop an attempt in flight; its outcome is still due."""
 
     request_id: str
     attempt: int
@@ -44,12 +44,12 @@
 
 @dataclass(slots=True)
 class StartWatch:
-    """Watch the endpoint list, or poll it once more."""
+    """Send the next watch or poll request for the endpoint list."""
 
 
 @dataclass(slots=True)
 class StartTimer:
-    """Give back a `TimerFired` of this name after a time."""
+    """Deliver a `TimerFired` of this name after a delay."""
 
     delay_ms: float
     name: str
--- a/loadbalancer/events.py
+++ b/loadbalancer/events.py
@@ -24,17 +24,17 @@
 
     @property
     def not_processed(self) -> bool:
-        """Whether the result proves that the endpoint did not begin to execute the request."""
+        """Whether the result proves that the endpoint did not start to execute the request."""
         return self in (AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT)
 
     @property
     def measures_latency(self) -> bool:
-        """Whether the attempt's latency tells how fast the endpoint is: a fast error must not look fast."""
+        """Whether the attempt's latency measures the endpoint's speed; that of a fast error does not."""
         return self is AttemptResult.OK or self is AttemptResult.TIMEOUT
 
 
 class EndpointState(Enum):
-    """Whether an endpoint may be sent new requests: only a ready one."""
+    """Whether an endpoint may get new attempts: only a ready one may."""
 
     READY = "up"
     DRAINING = "draining"
@@ -42,7 +42,7 @@
 
 
 class UpdateKind(Enum):
-    """What a membership update is: changes, a complete list, a cached one, or a failed watch."""
+    """The kind of a membership update: changes, a complete list, a cached list, or a failed watch."""
 
     DELTA = "delta"
     COMPLETE = "full"
@@ -58,23 +58,23 @@
     zone: str = ""
     cell: int = 0
     state: EndpointState = EndpointState.READY
-    started_ms: float | None = None  # None: long ago
+    started_ms: float | None = None  # None: so long ago that it has warmed up
     capacity: float = 1.0  # relative to the other endpoints, where `Settings.uses_capacity` is set
 
 
 @dataclass(slots=True)
 class LoadReport:
-    """What an endpoint reports of its own load; None for what it doesn't report."""
+    """An endpoint's report of its own load; None for a value that it does not report."""
 
-    in_flight: float | None = None  # calls, from all replicas
-    queue: float | None = None  # calls that wait there
+    in_flight: float | None = None  # requests, from all replicas
+    queue: float | None = None  # requests that wait there
     utilisation: float | None = None  # 1: at capacity
 
     @classmethod
     def from_values(cls, values: Mapping[str, float]) -> LoadReport | None:
-        """The report with these values, named as in `Settings.load_report_fields`; None without any.
+        """The report with these values, named as in `Settings.load_report_fields`; None without values.
 
-        Values that the policy doesn't use are left out.
+        Values that the policy does not use are left out.
         """
         if not values:
             return None
@@ -83,7 +83,7 @@
 
 @dataclass(slots=True)
 class MembershipUpdate:
-    """Endpoints that were listed, changed or removed; none where the watch failed."""
+    """Endpoints that were listed, changed or removed; empty if the watch failed."""
 
     kind: UpdateKind
     endpoints: tuple[Endpoint, ...] = ()
@@ -91,7 +91,7 @@
 
 @dataclass(slots=True)
 class IncomingRequest:
-    """A client's request, which gets one final answer."""
+    """A client's request, which gets one final response."""
 
     request_id: str
     service_class: str  # by name
@@ -103,7 +103,7 @@
 
 @dataclass(slots=True)
 class ResponseStarted:
-    """A streamed response has begun: no other attempt may answer the request any more."""
+    """A streamed response has begun: no other attempt may respond to the request any more."""
 
     request_id: str
     attempt: int
@@ -111,32 +111,32 @@
 
 @dataclass(slots=True)
 class AttemptOutcome:
-    """An attempt has ended; each one sent gets exactly one outcome, cancelled ones too."""
+    """An attempt has ended; each attempt sent has exactly one outcome, also if it was cancelled."""
 
     request_id: str
     attempt: int
     endpoint: str  # by name
     result: AttemptResult
     latency_ms: float
-    done: bool  # the request has its final answer, from this attempt or an earlier one
+    done: bool  # the request has its final response, from this attempt or an earlier one
     load_report: LoadReport | None = None
 
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client has disconnected or given up; no final answer is due any more."""
+    """The client has disconnected or timed out; no final response is due any more."""
 
     request_id: str
 
 
 @dataclass(slots=True)
 class ShutdownStarted:
-    """Graceful shutdown: nothing more is sent, and each request is answered as its attempts end."""
+    """Graceful shutdown starts: no more attempts, and requests get their final response as attempts end."""
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer that the policy started has run out."""
+    """A timer that the policy started has expired."""
 
     name: str
 
--- a/loadbalancer/platform_settings.py
+++ b/loadbalancer/platform_settings.py
@@ -1,7 +1,7 @@
 """The platform's JSON settings and load reports, read into the policy's types.
 
-The simulator adapter, the proxy and the discovery client read them alike. The platform's own names stand here
-alone; keys that are not known are ignored. Times are milliseconds, rates are per second.
+The simulator adapter, the proxy and the discovery client share these readers. The platform's own names are in
+this module only; unknown keys are ignored. Times are milliseconds, rates are per second.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 """A decoded JSON object whose values have not been checked yet."""
 _Choice = TypeVar("_Choice")
 
-DISCOVERY_POLLED = "ask"  # registryMode: discovery sends nothing of its own accord
-PRIORITY_BY_COST = "work"  # valueBy: a request counts by its cost
-STATIC_CAPACITIES = ("nominal", "rough")  # weights; the other kinds, such as a live one, mix in past load
+DISCOVERY_POLLED = "ask"  # registryMode: discovery has to be polled
+PRIORITY_BY_COST = "work"  # valueBy: a request is weighed by its cost
+STATIC_CAPACITIES = ("nominal", "rough")  # weights; other kinds, such as a live one, depend on past load
 
-# Where each setting stands in the platform's JSON, as `key` or `section.key`.
+# The platform's key of each setting, as `key` or `section.key`.
 SETTING_KEYS = {
     "zone": "locality",
     "tier": "tier",
@@ -112,7 +112,7 @@
 
 def _parse_tenants(config: JsonObject) -> Iterator[Tenant]:
     for account in config.get("accounts") or ():
-        if account.get("quotaPerS") is not None:  # one without a quota is not limited
+        if account.get("quotaPerS") is not None:  # an account without a quota is not limited
             yield Tenant(account["name"], account["quotaPerS"])
 
 
@@ -154,27 +154,28 @@
 
 
 def parse_capacity(value: object) -> float:
-    """Read a listed endpoint's capacity relative to the others; 1.0 if it is not a number above 0."""
+    """Read the capacity of a listed endpoint, relative to the others; 1.0 if it is not a number above 0."""
     if not isinstance(value, int | float) or isinstance(value, bool):
         return 1.0
     return float(value) if 0.0 < value < math.inf else 1.0
 
 
 def parse_load_report(text: str, fields: tuple[str, ...]) -> LoadReport | None:
-    """Read a load report's text form, `TEXT name=value, name=value`.
+    """Read a load report in its text form, `TEXT name=value, name=value`.
 
     Args:
         text: the value of the header that carries the report.
-        fields: the names that the settings list; other values are left out.
+        fields: the names listed in the settings; other values are left out.
 
     Returns:
-        The values; None if any part of the report is malformed or no listed value came.
+        The report; None if any part is malformed or it has no listed value.
     """
     report_format, _, pairs = text.partition(" ")
     report: dict[str, float] = {}
     for pair in pairs.split(","):
         name, _, number = pair.strip().partition("=")
-        # Guard: float() accepts signs, words and underscores, and a huge queue would exclude an endpoint.
+        # Guard: float() accepts signs, words such as `nan` and underscores, and a huge queue would exclude an
+        # endpoint. A value must match `REPORT_NUMBER`. Trade-off: one bad value discards the whole report.
         if report_format != REPORT_FORMAT or not REPORT_NUMBER.fullmatch(number):
             return None
         name = LOAD_REPORT_FIELDS.get(name, name)
--- a/loadbalancer/policy/admission.py
+++ b/loadbalancer/policy/admission.py
@@ -99,8 +99,8 @@
     def admit(self, now_ms: float, request: IncomingRequest, service_class: ServiceClass) -> bool:
         """Decide whether a request is admitted; takes a token from its tenant's quota."""
         in_flight = self._endpoints.in_flight()
-        within_quota = self.take_quota_token(now_ms, request.tenant)
-        priority_weight = self.priority_weight(request, service_class, within_quota=within_quota)
+        over_quota = not self.take_quota_token(now_ms, request.tenant)
+        priority_weight = self.priority_weight(request, service_class, over_quota=over_quota)
         remaining = self.threshold(priority_weight, len(self._endpoints.ready)) - in_flight
         # Guard: one attempt from each of hundreds of replicas kept the pool congested. What remains below one
         # attempt is therefore the chance that the request is admitted. Trade-off: at very low thresholds,
@@ -113,13 +113,13 @@
         return quota is None or quota.take_token(now_ms)
 
     def priority_weight(
-        self, request: IncomingRequest, service_class: ServiceClass, *, within_quota: bool
+        self, request: IncomingRequest, service_class: ServiceClass, *, over_quota: bool
     ) -> float:
         """The weight of a request over the highest class's; lower for retries and over the tenant's quota."""
         weight = service_class.priority_weight / self._max_priority_weight
         if request.is_retry:
             weight *= RETRY_PRIORITY_FACTOR
-        return weight if within_quota else weight * self._settings.over_quota_weight
+        return weight * self._settings.over_quota_weight if over_quota else weight
 
     def threshold(self, priority_weight: float, ready_count: int) -> float:
         """The threshold in force for a priority weight with this number of ready endpoints."""
--- a/loadbalancer/policy/endpoint_set.py
+++ b/loadbalancer/policy/endpoint_set.py
@@ -32,7 +32,9 @@
         """Apply an update; an endpoint absent from a complete or cached list is removed."""
         if update.kind is not UpdateKind.DELTA:
             listed_names = {listed.name for listed in update.endpoints}
-            self._by_name = {name: kept for name, kept in self._by_name.items() if name in listed_names}
+            removed_names = self._by_name.keys() - listed_names
+            for name in removed_names:
+                del self._by_name[name]
         for listed in update.endpoints:
             if listed.state is EndpointState.REMOVED:
                 self._by_name.pop(listed.name, None)
--- a/loadbalancer/policy/parameters.py
+++ b/loadbalancer/policy/parameters.py
@@ -69,7 +69,7 @@
 # Slow start.
 OVERLOAD_FACTOR_FRACTION = 0.85  # of the overload factor: the share that a warming endpoint may get
 MIN_POOL_CAPACITY_FRACTION = 0.6  # of a pool's full capacity: the minimum that its endpoints' shares assume
-MIN_TAKEN_TOKENS = 1e-6  # keeps the quotient finite when the token bucket is empty
+MIN_USED_TOKENS = 1e-6  # keeps the quotient finite when the token bucket is empty
 
 # Requests.
 MIN_REQUEST_WEIGHT = 0.25  # by cost, relative to a mean request
--- a/loadbalancer/policy/policy.py
+++ b/loadbalancer/policy/policy.py
@@ -5,9 +5,9 @@
 admitted request goes to the best ranked of three endpoints sampled by capacity (selection.py), and is retried
 elsewhere only where a second execution does no harm (retry_rules.py).
 
-The policy does no I/O: `LoadBalancingPolicy.handle(now_ms, event)` depends on the events so far, their times
-and the seed, and on nothing else. A `Guard:` comment marks a departure from the simplest design: the failure
-it prevents, how, and the trade-off.
+The policy does no I/O: `LoadBalancingPolicy.handle(now_ms, event)` depends on the settings, the seed and the
+events so far with their times, and on nothing else. A `Guard:` comment marks a departure from the simplest
+design: the failure it prevents, how, and the trade-off.
 """
 
 from __future__ import annotations
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -7,7 +7,7 @@
 from loadbalancer.policy.endpoint_set import EndpointSet
 from loadbalancer.policy.parameters import (
     MIN_POOL_CAPACITY_FRACTION,
-    MIN_TAKEN_TOKENS,
+    MIN_USED_TOKENS,
     OVERLOAD_FACTOR_FRACTION,
     PEAK_RATE_DECAY_MS,
     SAMPLED_ENDPOINTS,
@@ -69,11 +69,11 @@
             return sampled
         pool_capacity, min_capacity = self._pool_capacities(now_ms)
         if pool_capacity >= min_capacity or self._usual_rate <= 0.0:
-            # Below a fraction of its full capacity, a pool that is all warming up would be flooded.
+            # Shares of a capacity below the minimum would flood a pool that is all warming up.
             pool_capacity = max(pool_capacity, min_capacity)
         else:
             # An attempt over the usual rate sees a larger pool, so that its chance is lower.
-            pool_capacity = min_capacity * weight / max(self._take_tokens(now_ms, weight), MIN_TAKEN_TOKENS)
+            pool_capacity = min_capacity * weight / max(self._take_tokens(now_ms, weight), MIN_USED_TOKENS)
         admits = self.admits
         return [item for item in sampled if admits(now_ms, item, sampled_capacity, pool_capacity)]
 
@@ -114,13 +114,13 @@
         """
         max_tokens = self._usual_rate * self._window_ms
         tokens = self._tokens + self._usual_rate * (now_ms - self._refilled_ms)
-        taken = min(weight, tokens, max_tokens)
-        self._tokens = min(tokens, max_tokens) - taken
+        used = min(weight, tokens, max_tokens)
+        self._tokens = min(tokens, max_tokens) - used
         self._refilled_ms = now_ms
-        return taken
+        return used
 
     def _pool_capacities(self, now_ms: float) -> tuple[float, float]:
-        """The current capacity of the ready endpoints, and below which one most of them are warming up."""
+        """The current capacity of the ready endpoints, and the one below which most count as warming up."""
         ready = self._endpoints.ready
         capacity = sum([self.current_capacity(now_ms, endpoint) for endpoint in ready])
         full_capacity = sum([endpoint.full_capacity for endpoint in ready])
--- a/loadbalancer/settings.py
+++ b/loadbalancer/settings.py
@@ -10,11 +10,11 @@
 from dataclasses import dataclass
 from enum import Enum
 
-MIN_POSITIVE = 0.001  # the least value of a setting that must be above zero
+MIN_POSITIVE = 0.001  # the minimum of a setting that must be above zero
 
 
 class ConfigurationError(ValueError):
-    """A setting that can't be used; its text is `field: what is wrong`."""
+    """A setting has an unusable value; the text is `field: problem`."""
 
     def __init__(self, field: str, problem: str) -> None:
         super().__init__(field, problem)
@@ -29,20 +29,20 @@
 
     @property
     def problem(self) -> str:
-        """What is wrong with its value."""
+        """What is wrong with its value, as text."""
         return str(self.args[1])
 
 
 class Idempotency(Enum):
-    """What a second execution of a request may do."""
+    """What a second execution of a request does."""
 
-    IDEMPOTENT = "idempotent"  # may be executed any number of times
-    KEYED = "keyed"  # has an idempotency key; its deduplication scope drops a repeat while it has the key
-    NON_IDEMPOTENT = "non_idempotent"  # must never be executed twice
+    IDEMPOTENT = "idempotent"  # no harm: it may be executed any number of times
+    KEYED = "keyed"  # nothing, while the deduplication scope remembers its idempotency key
+    NON_IDEMPOTENT = "non_idempotent"  # harm: it must never be executed twice
 
 
 class DeduplicationScope(Enum):
-    """The endpoints that share one memory of idempotency keys."""
+    """The endpoints that share one record of idempotency keys."""
 
     ALL = "all"
     ZONE = "zone"
@@ -51,22 +51,22 @@
 
 @dataclass(slots=True, frozen=True)
 class ServiceClass:
-    """Requests of one kind, which share an objective, a priority and an idempotency."""
+    """A kind of request, with its latency objective, priority and idempotency."""
 
     name: str
-    latency_objective_ms: float  # an answer within this counts in full
-    client_timeout_ms: float  # the client gives up after this, over all its attempts
+    latency_objective_ms: float  # a response within this has the full value
+    client_timeout_ms: float  # the client waits this long, over all attempts
     priority_weight: float = 1.0
-    late_weight: float = 0.0  # share of the priority weight that an answer after the objective still has
+    late_weight: float = 0.0  # fraction of the priority weight of a response after the objective
     idempotency: Idempotency = Idempotency.NON_IDEMPOTENT
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
-    deduplication_window_ms: float = 0.0  # how long the scope remembers an idempotency key
+    deduplication_window_ms: float = 0.0  # time for which the scope remembers an idempotency key
     streaming: bool = False
 
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """A customer of the service, with a quota."""
+    """A customer of the service and its quota."""
 
     name: str
     quota_per_s: float  # requests, over all replicas of this proxy together
@@ -74,7 +74,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """All that a policy is told at its start.
+    """The configuration of a policy, fixed at its start.
 
     Raises:
         ConfigurationError: a value is out of its range or of the wrong type.
@@ -86,19 +86,19 @@
     tier: int = 0  # 0 is the tier that clients reach
     replicas: int = 1  # proxies that send to this tier, this one included
     polls_discovery: bool = False
-    weight_by_cost: bool = False  # requests count by their cost hint
-    over_quota_weight: float = 1.0  # what is left of the priority weight of a request over its tenant's quota
+    weight_by_cost: bool = False  # weigh requests by their cost hint
+    over_quota_weight: float = 1.0  # factor of the priority weight of a request over its tenant's quota
     load_report_fields: tuple[str, ...] = ()
     can_cancel: bool = False
     sends_retry_after: bool = False
     max_retry_after_ms: float = 0.0
     max_attempts: int = 1
     cross_zone_price: float = 0.0
-    uses_capacity: bool = False  # the capacity in the endpoint list is what an endpoint can do
-    slow_start_initial_fraction: float = 1.0  # of its capacity, that an endpoint has as it starts
-    slow_start_ms: float = 0.0  # after which it has all of it
-    overload_factor: float = 2.0  # an endpoint in slow start that gets this many times its share fails
-    overload_window_ms: float = 1500.0  # when that lasts this long
+    uses_capacity: bool = False  # use the capacities in the endpoint list; else all are equal
+    slow_start_initial_fraction: float = 1.0  # of its capacity, when an endpoint starts
+    slow_start_ms: float = 0.0  # time from its start to its full capacity
+    overload_factor: float = 2.0  # an endpoint in slow start fails at this multiple of its share
+    overload_window_ms: float = 1500.0  # if it lasts this long
 
     def __post_init__(self) -> None:
         if not self.classes:
@@ -147,4 +147,4 @@
 def _check_unique(field: str, names: Iterable[str]) -> None:
     listed = list(names)
     if len(set(listed)) != len(listed):
-        raise ConfigurationError(field, "a name stands twice")
+        raise ConfigurationError(field, "a name occurs twice")
--- a/loadbalancer/simulator_adapter.py
+++ b/loadbalancer/simulator_adapter.py
@@ -1,6 +1,6 @@
-"""The program that the simulator starts: batches on standard input, replies on standard output.
+"""The program that the simulator starts; it reads batches from standard input and writes replies.
 
-It hosts the policies of many nodes, which share nothing. It decides nothing itself; `simulator_wire`
+It hosts the policies of many nodes, which share no state. It decides nothing itself; `simulator_wire`
 translates between messages and the types of the policy.
 """
 
@@ -35,23 +35,23 @@
 
 
 class WireFault(Enum):
-    """What is wrong with input that cannot be attributed to one node."""
+    """A fault of the input that cannot be attributed to one node."""
 
     NOT_JSON = "not a line of JSON"
     NOT_AN_OBJECT = "not an object"
     BAD_BATCH_START = "FRAME lacks nowMs or seq"
-    NESTED_BATCH = "a batch begins within a batch"
-    OUTSIDE_BATCH = "a message stands outside a batch"
+    NESTED_BATCH = "a batch starts within a batch"
+    OUTSIDE_BATCH = "a message is outside a batch"
     UNFINISHED_BATCH = "the input ended within a batch"
     BAD_CATALOG = "a catalog cannot be read"
     NO_NODE = "an event names no node"
 
 
 class WireError(Exception):
-    """Input that does not follow the wire protocol and names no node; it ends the process.
+    """Input violates the wire protocol and names no node; it ends the process.
 
     Attributes:
-        fault: what is wrong.
+        fault: the fault.
         detail: the offending part of the input.
     """
 
@@ -62,11 +62,11 @@
 
 
 class HostedPolicy:
-    """The policy of one simulated node, and what is needed to read that node's messages.
+    """The policy of one simulated node and the context for reading its messages.
 
     Attributes:
         policy: the node's policy.
-        context: what the readers of its messages need.
+        context: for the readers of its messages.
     """
 
     def __init__(
@@ -86,8 +86,8 @@
     """The policies of all nodes of one process.
 
     Attributes:
-        hosted: the running nodes by their number.
-        catalogs: the endpoint catalogs last sent, by reference; a reference may be sent anew.
+        hosted: the running nodes, by number.
+        catalogs: the latest endpoint catalog of each reference; a later one replaces it.
         now_ms: the time of the current batch.
     """
 
@@ -99,7 +99,7 @@
     def handle(self, message: WireMessage) -> list[WireMessage]:
         """Deliver one event of a batch and return the replies to it.
 
-        Whatever fails at a node ends that node alone: the reply is then a PANIC, and the traceback goes to
+        Any failure at a node ends that node only: the reply is a PANIC, and the traceback is written to
         standard error.
 
         Raises:
@@ -146,7 +146,7 @@
 
 
 class Batch:
-    """A batch whose events are being answered.
+    """A batch whose events are being handled.
 
     Attributes:
         now_ms: the simulator's clock, the same for all events of the batch.
@@ -162,7 +162,7 @@
         self._sequence = start["seq"]
 
     def write_reply(self, sink: BinaryIO) -> None:
-        """Write the whole reply, which READY ends with the batch's number, and flush it."""
+        """Write and flush the whole reply, which ends with READY and the number of the batch."""
         self.reply.append(orjson.dumps({"kind": "READY", "seq": self._sequence}))
         sink.write(b"\n".join(self.reply) + b"\n")
         sink.flush()
@@ -179,11 +179,10 @@
 
 
 def run(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches, one reply each, until the input ends.
+    """Handle batches and write one reply to each, until the input ends.
 
     Raises:
-        WireError: the input does not follow the wire protocol. Nothing of the unfinished reply has been
-            written.
+        WireError: the input violates the wire protocol; no part of the unfinished reply has been written.
     """
     adapter = SimulatorAdapter()
     batch: Batch | None = None
@@ -207,7 +206,7 @@
 
 
 def main() -> int:
-    """Serve standard input and output; return the process's exit code."""
+    """Run on standard input and output; returns the exit code of the process."""
     try:
         run(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
--- a/loadbalancer/simulator_wire.py
+++ b/loadbalancer/simulator_wire.py
@@ -1,7 +1,7 @@
-"""The simulator's wire messages, read into the policy's events and written from its actions.
+"""Translation between the simulator's wire messages and the policy's events and actions.
 
-A table of readers in one direction, one function in the other; nothing is decided here. Times on the wire and
-in the policy are milliseconds on the simulator's clock.
+`EVENT_READERS` has a reader for each kind of message; `write_action` writes all actions. Nothing is decided
+here. Times on the wire and in the policy are milliseconds on the simulator's clock.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 from loadbalancer.platform_settings import parse_capacity
 
 WireMessage: TypeAlias = Mapping[str, Any]
-"""One decoded line of the wire; the fields of each kind are those of the platform's protocol page."""
+"""One decoded line of the wire; the platform's protocol page defines the fields of each kind."""
 
 ATTEMPT_RESULTS = {
     0: AttemptResult.OK,
@@ -55,7 +55,7 @@
 
 
 class MessageError(ValueError):
-    """A message to one node that cannot be used; it ends that node alone.
+    """A message to one node is unusable; it ends that node only.
 
     Attributes:
         field: the wire field at fault.
@@ -68,11 +68,11 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeContext:
-    """What is needed to read the messages to one node.
+    """The context for reading the messages to one node.
 
     Attributes:
         service_classes: the names of the service classes that the node's requests may have.
-        load_report_fields: the names of the values of a load report, in the order in which they come.
+        load_report_fields: the names of the values of a load report, in the order of the wire.
         catalogs: the process's endpoint catalogs by reference number; later ones replace earlier ones.
     """
 
@@ -81,7 +81,7 @@
     catalogs: Mapping[int, tuple[Endpoint, ...]]
 
     def read_load_report(self, values: Sequence[float | None] | None) -> LoadReport | None:
-        """Name the values of a load report, leaving out absent ones; None if no report came."""
+        """Read a load report, whose absent values are left out; None without a report."""
         if not values:
             return None
         named_values = zip(self.load_report_fields, values, strict=False)
@@ -92,7 +92,7 @@
     """Read one entry of a catalog.
 
     Raises:
-        MessageError: the endpoint's state is not known.
+        MessageError: the endpoint's state is unknown.
     """
     state = ENDPOINT_STATES.get(entry["stageState"])
     if state is None:
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -21,8 +21,8 @@
 
 def priority_weight(harness: PolicyHarness, after_ms: float = 0.0, **fields: Any) -> float:
     admission, request = harness.policy.admission, IncomingRequest("r", "read", 9e9, **fields)
-    within_quota = admission.take_quota_token(harness.now_ms + after_ms, request.tenant)
-    return admission.priority_weight(request, IDEMPOTENT_READ, within_quota=within_quota)
+    over_quota = not admission.take_quota_token(harness.now_ms + after_ms, request.tenant)
+    return admission.priority_weight(request, IDEMPOTENT_READ, over_quota=over_quota)
 
 
 # ------------------------------------------------------------------ the cursor
--- a/tests/policy/test_settings.py
+++ b/tests/policy/test_settings.py
@@ -29,4 +29,4 @@
     with pytest.raises(ConfigurationError) as raised:
         Settings(classes=(IDEMPOTENT_READ, IDEMPOTENT_READ))
     assert raised.value.field == "classes"
-    assert str(raised.value) == "classes: a name stands twice"
+    assert str(raised.value) == "classes: a name occurs twice"
