--- a/loadbalancer/discovery_server/endpoint_store.py
+++ b/loadbalancer/discovery_server/endpoint_store.py
@@ -96,6 +96,10 @@
             return None
         return ChangeSet(self._clock.issue(now_ms, self.revision, minimum_revision), changed)
 
+    def next_revision(self, now_ms: float, minimum_revision: int = 0) -> int:
+        """The revision that a change set prepared now would have."""
+        return self._clock.next_revision(now_ms, self.revision, minimum_revision)
+
     def commit(self, change_set: ChangeSet) -> None:
         """Make a prepared change set part of all responses from now on."""
         assert change_set.revision > self.revision, "a revision must not go back"
--- a/loadbalancer/discovery_server/frontend.py
+++ b/loadbalancer/discovery_server/frontend.py
@@ -7,7 +7,7 @@
 
 from loadbalancer.discovery_server.endpoint_store import EndpointStore
 from loadbalancer.discovery_server.unread_responses import UnreadResponses
-from loadbalancer.discovery_server.update_pipeline import UpdatePipeline
+from loadbalancer.discovery_server.update_pipeline import RevisionNotStoredError, UpdatePipeline
 from loadbalancer.discovery_server.watch_query import QueryError, WatchQuery, parse_query
 from loadbalancer.discovery_server.watch_registry import Watch, WatchRegistry
 from loadbalancer.http.addresses import Address
@@ -103,7 +103,11 @@
             self._reject(request, HTTPStatus.SERVICE_UNAVAILABLE)
             return
         since, timeout_ms = query
-        body = pipeline.response_since(since)
+        try:
+            body = pipeline.response_since(since)
+        except RevisionNotStoredError:
+            self._reject(request, HTTPStatus.SERVICE_UNAVAILABLE)
+            return
         if body is not None and self.unread.over_limit():
             self._reject(request, HTTPStatus.SERVICE_UNAVAILABLE)
         elif body is not None:
--- a/loadbalancer/discovery_server/revisions.py
+++ b/loadbalancer/discovery_server/revisions.py
@@ -5,6 +5,8 @@
 therefore give different revisions at the same moment, and a client that changes servers is recognised by the
 tag. A process starts a minute ahead of the wall clock: while a list takes fewer than 100 change sets a
 second, every revision of one process stays below those of the next, even if nothing is left on the disk.
+A client can carry another server's revision that is further ahead than that; a revision above it is used
+only once it is on the disk, from which the next process resumes.
 """
 
 from __future__ import annotations
@@ -32,6 +34,14 @@
     return tick_count(revision) <= clock_ticks(now_ms) + MAX_TRUSTED_LEAD_TICKS
 
 
+def is_below_next_start(revision: int, now_ms: float, stored_revision: int) -> bool:
+    """Whether a later process begins above this revision, if this one ends now with that one on its disk."""
+    first_count = clock_ticks(now_ms) + STARTUP_LEAD_TICKS
+    if stored_revision:
+        first_count = max(first_count, tick_count(stored_revision) + REVISION_GAP_TICKS)
+    return tick_count(revision) < first_count
+
+
 class RevisionClock:
     """Issues the revisions of one endpoint list, each at most once."""
 
@@ -43,14 +53,22 @@
         self._min_count = clock_ticks(now_ms) + STARTUP_LEAD_TICKS
 
     def issue(self, now_ms: float, current: int, minimum_revision: int = 0) -> int:
-        """A revision above `current`, and clearly above `minimum_revision` where one is given."""
-        # Guard: a revision that goes back, or stands for two states, makes a client skip changes.
-        count = max(tick_count(current) + 1, self._min_count, clock_ticks(now_ms))
-        if minimum_revision:
-            count = max(count, tick_count(minimum_revision) + REVISION_GAP_TICKS)
+        """A revision above `current` and `minimum_revision`, never to be issued again."""
+        revision = self.next_revision(now_ms, current, minimum_revision)
         # Guard: while the snapshot with this revision was written, a client of another server had the
         # revision go up to this very one, and got the list as it was before.
-        self._min_count = count + 1
+        self._min_count = tick_count(revision) + 1
+        return revision
+
+    def next_revision(self, now_ms: float, current: int, minimum_revision: int = 0) -> int:
+        """The revision that `issue` would return now."""
+        # Guard: a revision that goes back, or stands for two states, makes a client skip changes.
+        count = max(tick_count(current) + 1, self._min_count, clock_ticks(now_ms))
+        # Guard: a jump by the gap that a restart resumes by leads to the revision that the next process
+        # issues first. The count therefore jumps only if it would not exceed the client's revision otherwise.
+        # The gap covers revisions that an earlier process issued after that one and lost with its disk.
+        if tick_count(minimum_revision) >= count:
+            count = tick_count(minimum_revision) + REVISION_GAP_TICKS
         return count << TAG_BITS | self.tag
 
     def resume_after(self, revision: int) -> None:
--- a/loadbalancer/discovery_server/snapshot_writer.py
+++ b/loadbalancer/discovery_server/snapshot_writer.py
@@ -19,11 +19,14 @@
 
     Attributes:
         outdated: Whether the disk lacks the last snapshot that was to be written.
+        stored_revision: The revision of the last snapshot that this process has on the disk; 0 before the
+            first one.
     """
 
     def __init__(self, store: SnapshotStore, executor: Executor, log: BoundLogger) -> None:
         """Write to this store, in a thread of this executor."""
         self.outdated = False
+        self.stored_revision = 0
         self._store = store
         self._executor = executor
         self._log = log
@@ -43,7 +46,9 @@
         done, _ = await asyncio.wait({self._write}, timeout=WRITE_TIMEOUT_S)
         error = self._write.exception() if done else TimeoutError("the disk takes too long")
         self.outdated = error is not None
-        if error is not None:
+        if error is None:
+            self.stored_revision = snapshot.revision
+        else:
             self._log.error("snapshot write failed", list=self._store.name, error=str(error))
 
     async def wait_for_write(self) -> None:
--- a/loadbalancer/discovery_server/update_pipeline.py
+++ b/loadbalancer/discovery_server/update_pipeline.py
@@ -9,9 +9,22 @@
 
 from loadbalancer.discovery_server.endpoint_store import EndpointStore, UpdateError
 from loadbalancer.discovery_server.records import ChangeSet, EndpointUpdate
+from loadbalancer.discovery_server.revisions import is_below_next_start
 from loadbalancer.discovery_server.snapshot_writer import SnapshotWriter
 
 
+class RevisionNotStoredError(Exception):
+    """A client's revision is so far ahead that one above it has to be on the disk before it is used.
+
+    Attributes:
+        revision: The client's revision.
+    """
+
+    def __init__(self, revision: int) -> None:
+        super().__init__(f"no revision above {revision} is on the disk yet")
+        self.revision = revision
+
+
 class UpdatePipeline:
     """Applies updates in order, each change set after its snapshot is on the disk.
 
@@ -41,6 +54,7 @@
         self._on_change = on_change
         self._log = log
         self._pending: list[EndpointUpdate] = []
+        self._minimum_revision = 0  # a client's, above which the list's has to go
         self._task: asyncio.Task[None] | None = None
 
     def submit(self, update: EndpointUpdate) -> None:
@@ -48,16 +62,18 @@
         if update.complete:
             self._pending.clear()
         self._pending.append(update)
-        if self._task is None:
-            self._task = asyncio.create_task(self._run())
+        self._start()
 
     def response_since(self, revision: int | None) -> bytes | None:
-        """The body for a client that holds this revision, None if nothing has changed for it yet."""
+        """The body for a client that holds this revision, None if nothing has changed for it yet.
+
+        Raises:
+            RevisionNotStoredError: The client has to send its request again once the disk has been written.
+        """
         now_ms = self._clock_ms()
         store = self.store
         if revision is not None and store.initialized and store.is_outdated_for(revision, now_ms):
-            # Guard: a client that comes from another server would see its revision go back. No entry changes,
-            # so nothing goes to the disk.
+            # Guard: a client that comes from another server would see its revision go back.
             self._advance_past(revision, now_ms)
         return store.responses.since(revision)
 
@@ -75,17 +91,29 @@
             self._task = asyncio.create_task(self._retry_write())
 
     def _advance_past(self, revision: int, now_ms: float) -> None:
-        change_set = self.store.prepare((), now_ms, minimum_revision=revision)
+        # Guard: after a restart, a revision that is not on the disk could be issued again for another state.
+        # It is therefore used at once only if every later process begins above it; otherwise it is stored
+        # first. Trade-off: the client has to repeat its request.
+        next_revision = self.store.next_revision(now_ms, revision)
+        if not is_below_next_start(next_revision, now_ms, self.writer.stored_revision):
+            self._minimum_revision = max(self._minimum_revision, revision)
+            self._start()
+            raise RevisionNotStoredError(revision)
+        change_set = self.store.prepare((), now_ms, revision)
         assert change_set is not None, "a newer minimum revision always makes a change set"
         self.store.commit(change_set)
 
+    def _start(self) -> None:
+        if self._task is None:
+            self._task = asyncio.create_task(self._run())
+
     async def _retry_write(self) -> None:
         await self.writer.write(self.store.snapshot())
         await self._run()
 
     async def _run(self) -> None:
         try:
-            while self._pending:
+            while self._pending or self._minimum_revision > self.store.revision:
                 updates, self._pending = self._pending, []
                 await self._apply(updates)
         finally:
@@ -93,7 +121,7 @@
 
     async def _apply(self, updates: list[EndpointUpdate]) -> None:
         try:
-            change_set = self.store.prepare(updates, self._clock_ms())
+            change_set = self.store.prepare(updates, self._clock_ms(), self._minimum_revision)
         except UpdateError as error:
             self._reject(error)
             return
--- /dev/null
+++ b/tests/discovery_server/test_update_pipeline.py
@@ -0,0 +1,140 @@
+"""Revisions that a client's own revision calls for: what the disk holds before a client sees them."""
+
+from __future__ import annotations
+
+import orjson
+import pytest
+
+from loadbalancer.discovery_server.revisions import REVISION_GAP_TICKS, TAG_BITS
+from loadbalancer.discovery_server.snapshot_writer import WRITE_TIMEOUT_S
+from tests.discovery_server.cluster import (
+    Client,
+    Registry,
+    address_of,
+    discovery_server,
+    list_response,
+    ready,
+)
+from tests.discovery_server.model import ModelCluster, ModelServer
+from tests.support.loopback import until
+
+OTHER_TAG = 77
+FAR_TICKS = 30_000  # beyond the lead of the clock
+
+
+@pytest.fixture
+def cluster():
+    cluster = ModelCluster()
+    yield cluster
+    cluster.close()
+
+
+@pytest.fixture
+def server(cluster):
+    """A server that has just received and stored its first list."""
+    cluster.registry.set("a", "Ready")
+    server = ModelServer(cluster, "server", 0, [cluster.registry])
+    server.poll_upstream_and_run()
+    return server
+
+
+def restart(server, seconds):
+    server.kill()
+    server.cluster.run(seconds)
+    server.start()
+
+
+def change(server, uid):
+    server.cluster.registry.set(uid, "Ready")
+    server.poll_upstream_and_run()
+
+
+def revision_served_after(server, revision):
+    """The revision of the complete list that a client with this revision of another server receives."""
+    document = orjson.loads(server.cluster.call(server.response_since, revision))
+    assert document["all"]
+    assert document["rev"] > revision
+    return document["rev"]
+
+
+def serve_client_ahead(server, ticks):
+    """Serve a client whose revision is ahead by so many ticks, at its second request at the latest."""
+    client_revision = ahead(server, ticks)
+    try:
+        revision_served_after(server, client_revision)
+    except ConnectionError:
+        server.cluster.run()
+        revision_served_after(server, client_revision)
+
+
+def ahead(server, ticks):
+    return server.store.revision + (ticks << TAG_BITS) + OTHER_TAG
+
+
+@pytest.mark.parametrize("restart_s", [0.02, 1.0, 1.02, 1.5])
+@pytest.mark.parametrize("ticks", [0, 1, FAR_TICKS])
+def test_revision_advanced_for_a_client_is_not_issued_again_after_a_restart(server, ticks, restart_s):
+    for _ in range(5):
+        serve_client_ahead(server, ticks)
+    restart(server, restart_s)
+    change(server, "b")
+    for _ in range(2 * REVISION_GAP_TICKS):
+        serve_client_ahead(server, 0)
+    assert not server.cluster.faults
+
+
+@pytest.mark.parametrize("ticks", [REVISION_GAP_TICKS, FAR_TICKS])
+def test_client_far_ahead_is_served_once_the_disk_holds_a_revision_above_its_own(server, ticks):
+    client_revision = ahead(server, ticks)
+    before = server.store.revision
+    server.disk.slow = True
+    for _ in range(3):
+        with pytest.raises(ConnectionError):
+            revision_served_after(server, client_revision)
+    assert server.store.revision == before
+    server.disk.run_pending()
+    server.cluster.run()
+    served = revision_served_after(server, client_revision)
+    assert served == server.snapshots.load().snapshot.revision
+
+
+def test_clients_far_ahead_before_and_after_a_restart_get_no_common_revision(server):
+    """Both hold one revision of another server; the first one's response is not on the disk."""
+    client_revision = ahead(server, FAR_TICKS)
+    server.disk.slow = True
+    with pytest.raises(ConnectionError):
+        revision_served_after(server, client_revision)
+    restart(server, 1.0)
+    change(server, "b")
+    with pytest.raises(ConnectionError):
+        revision_served_after(server, client_revision)
+    server.cluster.run()
+    revision_served_after(server, client_revision)
+    assert not server.cluster.faults
+
+
+def test_client_far_ahead_is_served_by_a_disk_that_fails_or_takes_too_long(server):
+    client_revision = ahead(server, FAR_TICKS)
+    server.disk.slow = True
+    with pytest.raises(ConnectionError):
+        revision_served_after(server, client_revision)
+    server.cluster.run(WRITE_TIMEOUT_S + 0.01)
+    revision_served_after(server, client_revision)
+
+
+async def test_client_far_ahead_is_rejected_with_503_and_served_after_the_write(tmp_path):
+    registry = await Registry(**ready("a")).start()
+    async with discovery_server(tmp_path, registry.endpoint) as server:
+        await until(lambda: server.frontend.listener.ready)
+        store = server.pipelines["s"].store
+        client = await Client.connect(address_of(server))
+        client_revision = store.revision + (FAR_TICKS << TAG_BITS) + OTHER_TAG
+        client.send_watch(client_revision)
+        rejection = await client.read()
+        assert (rejection.status, rejection.headers["retry-after"]) == (503, "1.000")
+        await until(lambda: store.revision > client_revision)
+        client.send_watch(client_revision)
+        served = list_response(await client.read())
+        assert served == (store.revision, True, ["a"])
+        client.writer.close()
+    registry.stop()
