--- a/loadbalancer/discovery_server/update_pipeline.py
+++ b/loadbalancer/discovery_server/update_pipeline.py
@@ -102,6 +102,9 @@
         change_set = self.store.prepare((), now_ms, revision)
         assert change_set is not None, "a newer minimum revision always makes a change set"
         self.store.commit(change_set)
+        # Guard: the change log drops its oldest revisions for an empty change set, too. A watch that waits at
+        # one of them is due the complete list, which it would otherwise get at its deadline only.
+        self._on_change(self.store)
 
     def _start(self) -> None:
         if self._task is None:
--- a/tests/discovery_server/test_update_pipeline.py
+++ b/tests/discovery_server/test_update_pipeline.py
@@ -15,7 +15,7 @@
     list_response,
     ready,
 )
-from tests.discovery_server.model import ModelCluster, ModelServer
+from tests.discovery_server.model import MAX_LOG_ENTRIES, ModelCluster, ModelNode, ModelServer
 from tests.support.loopback import until
 
 OTHER_TAG = 77
@@ -122,6 +122,19 @@
     revision_served_after(server, client_revision)
 
 
+def test_watch_from_before_the_change_log_is_notified_when_revisions_advance_for_clients(cluster, server):
+    node = ModelNode(cluster, server)
+    node.request()
+    node.request()
+    held = node.revision
+    assert node.watch is not None
+    for _ in range(MAX_LOG_ENTRIES + 1):
+        serve_client_ahead(server, 0)
+    server.flush()
+    assert node.watch is None
+    assert node.revision == server.store.revision > held
+
+
 async def test_client_far_ahead_is_rejected_with_503_and_served_after_the_write(tmp_path):
     registry = await Registry(**ready("a")).start()
     async with discovery_server(tmp_path, registry.endpoint) as server:
