--- a/tests/proxy/test_descriptor_limits.py
+++ b/tests/proxy/test_descriptor_limits.py
@@ -162,11 +162,10 @@
         self._program.send_signal(signal.SIGCONT)
         await ask_until_answered(self.address, READINESS_REQUEST)  # the last in the queue
 
-    async def end_outage(self) -> asyncio.Server:
+    async def end_outage(self) -> None:
         """Bring discovery back, and wait until the proxy has the new list."""
-        server = await self._outage.end(self._discovery)
+        await self._outage.end(self._discovery)
         await until(lambda: any("since=2&" in message.first[1] for message in self._discovery.seen))
-        return server
 
     async def stop(self) -> str:
         """End the process; returns its log."""
@@ -206,7 +205,7 @@
             await proxy.accept_burst(idle)
         if case.reconnecting:
             idle.reconnect()
-        discovery = await proxy.end_outage()
+        await proxy.end_outage()
         proxy.known_endpoint.release.set()
         for client in busy:
             assert (await client.read_response()).status in (200, 503)
@@ -214,7 +213,6 @@
             client.writer.close()
         assert (await ask_until_answered(proxy.address, request(name="real"))).status == 200
         assert [message.headers["req-id"] for message in proxy.new_endpoint.seen] == ["real"]
-        discovery.close()
 
     async def main() -> str:
         proxy = LimitedProxy(tmp_path, case)
--- a/tests/proxy/test_start.py
+++ b/tests/proxy/test_start.py
@@ -93,11 +93,10 @@
         )
         self._program = start_program(write_config(folder, row, self.address))
 
-    async def end_outage(self) -> asyncio.Server:
+    async def end_outage(self) -> None:
         """Bring discovery back, and wait until the proxy has the new list."""
-        server = await self.outage.end(self.discovery)
+        await self.outage.end(self.discovery)
         await until(lambda: any("since=2&" in message.first[1] for message in self.discovery.seen))
-        return server
 
     async def stop(self) -> None:
         self._program.kill()
@@ -122,11 +121,10 @@
         if known == "outdated":
             assert (await ask_until_answered(proxy.address, request(name="early"))).status == 200
             assert request_ids(proxy.old_endpoint) == ["early"]
-        server = await proxy.end_outage()
+        await proxy.end_outage()
         assert (await ask_until_answered(proxy.address, READINESS_REQUEST)).status == 200
         assert (await ask_until_answered(proxy.address, request(name="late"))).status == 200
         assert request_ids(proxy.new_endpoint) == ["late"]
-        server.close()
 
     async def main() -> None:
         proxy = ProxyWithoutDiscovery(outage, mode, known)
--- a/tests/proxy/test_watch_races.py
+++ b/tests/proxy/test_watch_races.py
@@ -33,12 +33,10 @@
         super().__init__()
         self.polls: asyncio.Queue[tuple[str, asyncio.StreamWriter]] = asyncio.Queue()
 
-    async def _take(self, reader, writer):
-        await super()._take(reader, writer)
-        with contextlib.suppress(asyncio.IncompleteReadError, OSError):
-            while True:
-                message = await read_message(reader)
-                await self.polls.put((message.first[1].partition("?")[2], writer))
+    async def _serve(self, reader, writer):
+        while True:
+            message = await read_message(reader)
+            await self.polls.put((message.first[1].partition("?")[2], writer))
 
     async def next_poll(self) -> tuple[str, asyncio.StreamWriter]:
         async with asyncio.timeout(20):
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -7,7 +7,8 @@
 import socket
 from collections.abc import AsyncIterator, Awaitable, Callable
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, Self
+from weakref import WeakKeyDictionary
 
 import orjson
 
@@ -74,53 +75,90 @@
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
+async def close_writer(writer: asyncio.StreamWriter) -> None:
+    """Close a connection at once, and wait until it is closed; what the peer has not read is dropped."""
+    writer.transport.abort()
+    with contextlib.suppress(OSError):
+        await writer.wait_closed()
+
+
 Script = Callable[[Message], Awaitable[bytes | None]]
 """Returns the response to a request; None closes the connection without one."""
 
 
 class LoopbackServer:
-    """An HTTP server that responds as its script says, and with 200 where it has none."""
+    """An HTTP server that responds as its script says, and with 200 where it has none.
+
+    It is an asynchronous context manager that listens within its context and has closed all sockets after it.
+    """
 
     def __init__(self, script: Script | None = None) -> None:
         self.script = script
-        self.seen: list[Message] = []  # all requests, in the order of their coming
+        self.seen: list[Message] = []  # all requests, in the order of arrival
         self.connections = 0  # accepted since the start
         self.readers: list[asyncio.StreamReader] = []
         self._writers: list[asyncio.StreamWriter] = []
-
-    async def start(self) -> LoopbackServer:
-        """Listen on a free port of the loopback address."""
-        self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
-        self.port: int = self._server.sockets[0].getsockname()[1]
+        self._tasks: set[asyncio.Task[None]] = set()  # one for each open connection
+        self._server: asyncio.Server | None = None
+
+    async def start(self, listening: socket.socket | None = None) -> Self:
+        """Listen on this socket, or on a free port of the loopback address."""
+        listening = listening or socket.create_server(("127.0.0.1", 0))
+        self._server = await asyncio.start_server(self._accept, sock=listening)
+        self.port: int = listening.getsockname()[1]
         return self
 
+    async def __aenter__(self) -> Self:
+        return await self.start()
+
+    async def __aexit__(self, *_error: object) -> None:
+        await self.aclose()
+
     @property
     def endpoint(self) -> str:
         """The address as endpoint lists have it."""
         return f"127.0.0.1:{self.port}"
 
-    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve one connection until the client closes it or the script ends it."""
+    async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve one connection, until the server stops at the latest."""
+        task = asyncio.current_task()
+        assert task is not None
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
         self.connections += 1
         self.readers.append(reader)
         self._writers.append(writer)
-        with contextlib.suppress(OSError, asyncio.IncompleteReadError):
+        with contextlib.suppress(OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
+            await self._serve(reader, writer)
+
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Respond on one connection until the client closes it or the script ends it."""
+        with contextlib.closing(writer):
             while True:
                 message = await read_message(reader)
                 self.seen.append(message)
-                answer = reply() if self.script is None else await self.script(message)
-                if answer is None:
-                    break
-                writer.write(answer)
+                response = reply() if self.script is None else await self.script(message)
+                if response is None:
+                    return
+                writer.write(response)
                 await writer.drain()
-        writer.close()
 
     def stop(self) -> None:
-        """Close the listening socket and all connections."""
-        self._server.close()
+        """Begin to close the listening socket and all connections; no effect if the server is not started."""
+        if self._server is not None:
+            self._server.close()
+        for task in self._tasks:
+            task.cancel()
         for writer in self._writers:
             writer.close()
 
+    async def aclose(self) -> None:
+        """Close the listening socket and all connections, and wait until they are closed."""
+        self.stop()
+        await asyncio.gather(*self._tasks)
+        for writer in self._writers:
+            await close_writer(writer)
+
 
 class StalledBackend(LoopbackServer):
     """A backend that responds to nothing until `release` is set."""
@@ -181,23 +219,36 @@
     return parse_config(orjson.dumps(config_document(discovery, **more)))
 
 
+_clients_of: WeakKeyDictionary[Proxy, list[HttpClient]] = WeakKeyDictionary()
+"""Clients connected by `HttpClient.to`, which `running_proxy` closes with its proxy."""
+
+
+async def _close_proxy(proxy: Proxy) -> None:
+    """Close a proxy with the connections of its clients, and wait until these are closed."""
+    proxy.close()
+    for connection in list(proxy.listener.connections):
+        connection.abort()
+    for client in _clients_of.pop(proxy, []):
+        await client.aclose()
+
+
 @contextlib.asynccontextmanager
 async def running_proxy(
     *servers: LoopbackServer, discovery: LoopbackServer | None = None, **more: Any
 ) -> AsyncIterator[Proxy]:
-    """A running proxy whose cached list has these backends as s0, s1 and so on."""
-    discovery = await (discovery or ScriptedDiscovery()).start()
-    for server in servers:
-        await server.start()
-    known = targets(**{f"s{number}": (server.endpoint, "Ready") for number, server in enumerate(servers)})
-    node = Proxy(config(discovery.endpoint, known=known, **more))
-    await node.start()
-    try:
-        yield node
-    finally:
-        node.close()
-        for server in (discovery, *servers):
-            server.stop()
+    """A running proxy whose cached list has these backends as s0, s1 and so on.
+
+    The proxy, its clients, the backends and discovery are closed at the end of the context.
+    """
+    async with contextlib.AsyncExitStack() as stack:
+        discovery = await stack.enter_async_context(discovery or ScriptedDiscovery())
+        for server in servers:
+            await stack.enter_async_context(server)
+        known = targets(**{f"s{number}": (server.endpoint, "Ready") for number, server in enumerate(servers)})
+        proxy = Proxy(config(discovery.endpoint, known=known, **more))
+        stack.push_async_callback(_close_proxy, proxy)
+        await proxy.start()
+        yield proxy
 
 
 class ScriptedPolicy:
@@ -230,16 +281,33 @@
 
 
 class HttpClient:
-    """A client's connection to a proxy or another server."""
+    """A client's connection to a proxy or another server; a context manager that closes it."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
         self.writer = writer
 
     @classmethod
-    async def to(cls, node: Proxy) -> HttpClient:
-        """Connect to a proxy."""
-        return cls(*await asyncio.open_connection(*node.listener.address))
+    async def connect(cls, address: tuple[str, int]) -> HttpClient:
+        """Connect to this address; the caller closes the client."""
+        return cls(*await asyncio.open_connection(*address))
+
+    @classmethod
+    async def to(cls, proxy: Proxy) -> HttpClient:
+        """Connect to a proxy; `running_proxy` closes the client if its test does not."""
+        client = await cls.connect(proxy.listener.address)
+        _clients_of.setdefault(proxy, []).append(client)
+        return client
+
+    async def __aenter__(self) -> HttpClient:
+        return self
+
+    async def __aexit__(self, *_error: object) -> None:
+        await self.aclose()
+
+    async def aclose(self) -> None:
+        """Close the connection, and wait until it is closed."""
+        await close_writer(self.writer)
 
     async def send(self, data: bytes) -> Message:
         """Send a request and read its response."""
@@ -251,13 +319,10 @@
         return await read_message(self.reader)
 
 
-async def send_request(node: Proxy, data: bytes) -> Message:
+async def send_request(proxy: Proxy, data: bytes) -> Message:
     """Send a request on a connection of its own and read the response."""
-    client = await HttpClient.to(node)
-    try:
+    async with await HttpClient.connect(proxy.listener.address) as client:
         return await client.send(data)
-    finally:
-        client.writer.close()
 
 
 async def until(condition: Callable[[], object]) -> None:
@@ -279,7 +344,7 @@
 
 
 class DiscoveryOutage:
-    """Discovery's address while it is down.
+    """Discovery's address while it is down; a context manager that closes the sockets which hold the address.
 
     It refuses connections ("refuses"), never establishes them ("hangs"), or accepts them and doesn't respond
     (any other kind).
@@ -294,9 +359,21 @@
         if kind == "hangs":  # they fill the accept queue, so that no further connection is established
             self._fillers = [connect(self.socket.getsockname()) for _ in range(4)]
 
-    async def end(self, discovery: LoopbackServer) -> asyncio.Server:
+    def __enter__(self) -> Self:
+        return self
+
+    def __exit__(self, *_error: object) -> None:
+        self.close()
+
+    def close(self) -> None:
+        """Close the sockets; a server that listens on one after `end` has to be stopped on its own."""
+        for filler in self._fillers:
+            filler.close()
+        self.socket.close()
+
+    async def end(self, discovery: LoopbackServer) -> None:
         """Bring discovery back at this address."""
         for filler in self._fillers:
             filler.close()
         self.socket.setblocking(False)
-        return await asyncio.start_server(discovery._serve, sock=self.socket)
+        await discovery.start(self.socket)
--- a/tests/support/proxy.py
+++ b/tests/support/proxy.py
@@ -86,25 +86,16 @@
     return act
 
 
-class ManualServer:
+class ManualServer(LoopbackServer):
     """A server whose test reads and writes each of its connections itself."""
 
     def __init__(self) -> None:
+        super().__init__()
         self.links: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
 
-    async def start(self) -> ManualServer:
-        self._server = await asyncio.start_server(self._take, "127.0.0.1", 0)
-        self.endpoint = f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
-        return self
-
-    async def _take(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.links.append((reader, writer))
 
-    def stop(self) -> None:
-        self._server.close()
-        for _, writer in self.links:
-            writer.close()
-
 
 class GatedConnects:
     """Holds back the connections that a proxy's pool opens, after the first few, until the gate is set."""
