--- a/benchmarks/hollow_nodes.py
+++ b/benchmarks/hollow_nodes.py
@@ -148,7 +148,7 @@
             HollowNode(
                 self,
                 number,
-                ("127.0.0.1", start.lists[number].port),
+                Address("127.0.0.1", start.lists[number].port),
                 cached[number],
                 LoadBalancingPolicy(POLICY_SETTINGS, rng.getrandbits(32), 0.0) if start.with_policy else None,
             )
--- a/loadbalancer/http/addresses.py
+++ b/loadbalancer/http/addresses.py
@@ -3,13 +3,18 @@
 from __future__ import annotations
 
 import socket
-
-Address = tuple[str, int]
-"""An IP address in its canonical form, and a port."""
+from typing import NamedTuple
 
 MAX_PORT = 65535
 
 
+class Address(NamedTuple):
+    """An IP address and a port, in the form that asyncio takes as `*address`."""
+
+    host: str  # an IPv4 or IPv6 address in its canonical form
+    port: int
+
+
 class AddressError(ValueError):
     """A text that is not an IP address and a port; `text` holds it."""
 
@@ -19,18 +24,25 @@
 
 
 def parse_address(text: object) -> Address:
-    """Parse `host:port`, where the host is an IPv4 or IPv6 address (without brackets).
+    """Parse `host:port`, where the host is an IPv4 or IPv6 address without brackets.
 
     Raises:
-        AddressError: if it is anything else, a host name included.
+        AddressError: if the text has another form, or the host is a name.
     """
     address = str(text)
     host, _, port = address.rpartition(":")
     if not port.isascii() or not port.isdigit() or int(port) > MAX_PORT:
         raise AddressError(address, f"{text!r} is not an address and a port")
-    # Guard: a host name would be resolved in a thread, for as long as that takes.
+    # Guard: a host name would be resolved in a thread, which can take any length of time. Only numeric
+    # addresses are accepted.
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     try:
-        return socket.inet_ntop(family, socket.inet_pton(family, host)), int(port)
+        return Address(socket.inet_ntop(family, socket.inet_pton(family, host)), int(port))
     except OSError:
         raise AddressError(address, f"{host!r} is not an address") from None
+
+
+def socket_address(listening: socket.socket) -> Address:
+    """The address that a socket of an internet family is bound to."""
+    host, port = listening.getsockname()[:2]  # an IPv6 socket adds a flow label and a scope
+    return Address(host, port)
--- a/loadbalancer/http/listener.py
+++ b/loadbalancer/http/listener.py
@@ -1,70 +1,73 @@
-"""Accepts downstream connections within a limit and ends those that exceed the time-out of their phase."""
+"""Accepts downstream connections within a limit, from any number of listening sockets."""
 
 from __future__ import annotations
 
 import asyncio
 import socket
 from collections.abc import Callable
-from itertools import islice
 
-from loadbalancer.http.addresses import Address
+from loadbalancer.http.addresses import Address, socket_address
+from loadbalancer.http.connection_registry import ConnectionRegistry, RegisteredConnection
+from loadbalancer.http.eviction import IDLE_GRACE_S, evict_over_limit
+from loadbalancer.http.listening_sockets import ListeningSockets
 from loadbalancer.http.request import HttpRequest
-from loadbalancer.http.server_connection import ConnectionPhase, ServerConnection
-from loadbalancer.http.socket_state import is_readable
+from loadbalancer.http.request_timeouts import RequestTimeouts
+from loadbalancer.http.server_connection import ServerConnection
 
-BACKLOG = 1024  # connections that the kernel accepts ahead of the event loop
-REQUEST_TIMEOUT_S = 2.5  # for a complete request, from connecting or from its first byte
-IDLE_TIMEOUT_S = 8.0  # after which an idle connection is closed
-IDLE_GRACE_S = 2.0  # for which an idle connection is not evicted unless a request waits for its place
-LINGER_TIMEOUT_S = 0.5  # how long what a client still sends after the last response is read and dropped
-SWEEP_INTERVAL_S = 0.1
-ACCEPT_BATCH_DIVISOR = 50  # one in so many of the limit is accepted in a turn of the event loop, at most
-EXCESS_ACCEPT_BATCHES = 3  # as many as these turns accept may exceed the limit, where none can be evicted
-MAX_CANDIDATES_EXAMINED = 16  # connections of each phase that are examined, at most, to evict one
+ACCEPT_BATCH_DIVISOR = 50  # an event loop turn accepts the limit divided by this, at most
+EXCESS_ACCEPT_BATCHES = 3  # accept batches by which connections may exceed the limit when none can be evicted
 
 
 class HttpListener:
     """Listens on any number of sockets under one connection limit.
 
-    `on_request` is called with each complete request, except those for readiness, which are answered here:
-    200 while `ready` is set, else 503. While `draining` is set, or the limit is exceeded, each response
+    `on_request` is called with each complete request, except those for readiness, which get their response
+    here: 200 while `ready` is set, else 503. While `draining` is set, or the limit is exceeded, each response
     closes its connection.
+
+    Attributes:
+        registry: The open connections by phase.
+        timeouts: Ends connections that exceed the time-out of their phase.
+        accept_batch: Connections accepted in one event loop turn, per listening socket.
     """
 
     def __init__(self, limit: int, on_request: Callable[[HttpRequest], None]) -> None:
         self.loop = asyncio.get_running_loop()
-        self.limit = limit
-        self.accept_batch = max(1, limit // ACCEPT_BATCH_DIVISOR)  # connections accepted in one turn
         self.on_request = on_request
         self.ready = False
         self.draining = False
-        self.connections: set[ServerConnection] = set()
-        self.awaiting_request = ConnectionPhase()
-        self.idle = ConnectionPhase()
-        self.lingering = ConnectionPhase()
-        self._servers: list[asyncio.Server] = []
-        self._sweep_timer: asyncio.TimerHandle | None = None
+        self.registry = ConnectionRegistry(limit, self.loop.time)
+        self.timeouts = RequestTimeouts(self.registry, self.loop)
+        self.accept_batch = max(1, limit // ACCEPT_BATCH_DIVISOR)
+        self._listening = ListeningSockets(self.loop, self.accept_batch)
+
+    @property
+    def limit(self) -> int:
+        """Connections that may be open."""
+        return self.registry.limit
+
+    @property
+    def connections(self) -> set[RegisteredConnection]:
+        """The open connections."""
+        return self.registry.connections
 
     @property
     def over_limit(self) -> bool:
         """Whether more connections are open than the limit."""
-        return len(self.connections) > self.limit
+        return self.registry.over_limit
 
     @property
     def address(self) -> Address:
         """The address of the first listening socket; IndexError while none is open."""
-        host, port = self.listening_sockets[0].getsockname()[:2]
-        return host, port
+        return socket_address(self.listening_sockets[0])
 
     @property
     def listening_sockets(self) -> list[socket.socket]:
         """The open listening sockets, in the order of the calls of `listen`."""
-        return [listening for server in self._servers for listening in server.sockets]
-
-    # Listening
+        return self._listening.sockets
 
     async def listen(self, host: str, port: int, context: object = None) -> Address:
-        """Open one more listening socket under the common connection limit, and start the sweep.
+        """Open one more listening socket under the common connection limit, and start the time-outs.
 
         Each connection that this socket accepts carries `context`. Returns the address, with the port that
         the kernel chose where `port` is 0.
@@ -72,148 +75,43 @@
         Raises:
             OSError: if the address can't be bound.
         """
-        listening = socket.create_server((host, port))
-        # Guard: asyncio accepts as many as its `backlog` before it looks at any, and two turns more before
-        # what made room for them is closed: so much of a burst has a descriptor beside the connections
-        # counted here, and it ran out of them. The kernel's queue is made long instead.
-        server = await self.loop.create_server(
-            lambda: ServerConnection(self, context), sock=listening, backlog=self.accept_batch
-        )
-        listening.listen(BACKLOG)
-        self._servers.append(server)
-        self.start_sweep()
-        host, port = listening.getsockname()[:2]
-        return host, port
+        address = await self._listening.open(host, port, lambda: ServerConnection(self, context))
+        self.timeouts.start()
+        return address
 
     async def stop_listening(self) -> None:
-        """Stop accepting, but for the connections that the kernel has accepted: they may hold requests."""
-        listening = [sock.fileno() for sock in self.listening_sockets]
-        quiet = False
-        for _ in range(BACKLOG if listening else 0):
-            # Guard: asyncio handles an accepted connection a turn later, and loses it, open and unread, where
-            # listening has ended by then. So one whole turn has to pass with none.
-            waiting = any(map(is_readable, listening))
-            if quiet and not waiting:
-                break
-            quiet = not waiting
-            await asyncio.sleep(0)
-        self.close_listening_sockets()
+        """Accept the connections in the kernel's queues, which may hold requests, and stop accepting."""
+        await self._listening.drain()
 
     def close_listening_sockets(self) -> None:
         """Stop accepting at once; connections that only the kernel has accepted are reset."""
-        for server in self._servers:
-            server.close()
-        self._servers.clear()
+        self._listening.close()
 
     def close(self) -> None:
-        """Stop accepting and stop the sweep; connections stay open."""
-        self.close_listening_sockets()
-        if self._sweep_timer is not None:
-            self._sweep_timer.cancel()
-
-    # Connections
-
-    def connection_opened(self, connection: ServerConnection) -> None:
-        """Count a new connection, and evict another or abort this one where the limit demands it."""
-        self.connections.add(connection)
-        # Guard: accepting never stops. Where all that could be evicted had bytes waiting to be read, it went
-        # on until no descriptor was left for discovery.
-        highest = self.limit + EXCESS_ACCEPT_BATCHES * self.accept_batch
-        if not self.ensure_capacity() and len(self.connections) > highest:
-            connection.abort()
-        else:
-            self.move_to_phase(connection, self.awaiting_request)
-
-    def connection_closed(self, connection: ServerConnection) -> None:
-        """Stop counting a connection; no effect if that was done before."""
-        self.move_to_phase(connection, None)
-        self.connections.discard(connection)
-
-    def move_to_phase(self, connection: ServerConnection, phase: ConnectionPhase | None) -> None:
-        """Move an open connection to a phase, None while a request is open; no effect if it is in it."""
-        previous = connection.phase
-        if previous is phase or connection not in self.connections:
-            return
-        if previous is not None:
-            del previous.connections[connection]
-        if phase is not None:
-            phase.connections[connection] = None
-        connection.phase = phase
-        connection.phase_since = self.loop.time()
+        """Stop accepting and stop the time-outs; connections stay open."""
+        self._listening.close()
+        self.timeouts.stop()
 
     def close_idle_connections(self) -> None:
         """Close the connections that carry no request."""
-        for connection in [*self.awaiting_request.connections, *self.idle.connections]:
-            connection.close_if_idle()
-
-    # Eviction
+        self.registry.close_idle()
 
     def ensure_capacity(self, grace_s: float = IDLE_GRACE_S) -> bool:
-        """Evict connections that carry no request until the limit is kept; False if that can't be done.
+        """Evict connections that carry no request until the limit is kept; return whether it is.
 
-        Identified clients' connections that have been idle for less than `grace_s` seconds stay.
+        Connections of identified clients that have been idle for less than `grace_s` seconds stay open.
         """
-        while self.over_limit:
-            if not self._evict_one(grace_s):
-                return False
-        return True
-
-    def _evict_one(self, grace_s: float) -> bool:
-        return (
-            self._evict_finished()
-            or self._evict_unidentified()
-            or self._evict_longest_idle(grace_s)
-            or self._evict_unread()
-        )
-
-    def _evict_finished(self) -> bool:
-        """Abort a connection whose last response has been sent."""
-        for connection in islice(self.lingering.connections, MAX_CANDIDATES_EXAMINED):
-            if not connection.has_unsent_data:
-                connection.abort()
-                return True
-        return False
-
-    def _evict_unidentified(self) -> bool:
-        """Close the connection of a client that has sent no valid request yet."""
-        # Guard: a few identified clients that wrote slowly hid all the unidentified ones behind them.
-        unidentified = (
-            connection for connection in self.awaiting_request.connections if not connection.identified
-        )
-        for connection in islice(unidentified, MAX_CANDIDATES_EXAMINED):
-            if connection.close_if_idle(abort_partial_unidentified=True):
-                return True
-        return False
-
-    def _evict_longest_idle(self, grace_s: float) -> bool:
-        """Close the connection that has been idle for longest, past its grace period."""
-        latest = self.loop.time() - grace_s
-        for connection in islice(self.idle.connections, MAX_CANDIDATES_EXAMINED):
-            if connection.phase_since <= latest and connection.close_if_idle():
-                return True
-        return False
-
-    def _evict_unread(self) -> bool:
-        """Abort a connection whose client is still reading its last response."""
-        for connection in self.lingering.connections:
+        return evict_over_limit(self.registry, grace_s)
+
+    def connection_opened(self, connection: ServerConnection) -> None:
+        """Count a new connection, and evict another or abort this one where the limit demands it."""
+        registry = self.registry
+        registry.add(connection)
+        # Guard: asyncio never stops accepting. When every candidate for eviction has bytes waiting to be
+        # read, nothing can be evicted, and accepted connections would use up the descriptors that discovery
+        # needs. Beyond a fixed excess a new connection is therefore aborted.
+        highest = registry.limit + EXCESS_ACCEPT_BATCHES * self.accept_batch
+        if not self.ensure_capacity() and len(registry.connections) > highest:
             connection.abort()
-            return True
-        return False
-
-    # Time-outs
-
-    def start_sweep(self) -> None:
-        """Start to end, at intervals, the connections that exceed a time-out; no effect if started before."""
-        if self._sweep_timer is None:
-            self._sweep()
-
-    def _sweep(self) -> None:
-        now = self.loop.time()
-        for phase, timeout_s in (
-            (self.awaiting_request, REQUEST_TIMEOUT_S),
-            (self.idle, IDLE_TIMEOUT_S),
-            (self.lingering, LINGER_TIMEOUT_S),
-        ):
-            for connection in phase.entered_until(now - timeout_s):
-                connection.expire(unread_timeout_s=IDLE_TIMEOUT_S)
-        self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
+        else:
+            registry.move_to_phase(connection, registry.awaiting_request)
--- /dev/null
+++ b/loadbalancer/http/request_parser.py
@@ -0,0 +1,162 @@
+"""Parses a downstream connection's byte stream into requests, within the size limits. No I/O."""
+
+from __future__ import annotations
+
+import re
+from collections import deque
+from collections.abc import Callable
+from http import HTTPStatus
+
+import httptools
+
+from loadbalancer.http.limits import MAX_BODY_BYTES, MAX_HEAD_BYTES
+from loadbalancer.http.request import FORWARDED_HEADERS, HttpRequest
+
+MAX_PIPELINED_REQUESTS = 32  # complete requests that may wait on one connection
+SUPPORTED_VERSIONS = ("1.1", "1.0")
+TARGET_PATTERN = re.compile(rb"/[\x21-\x7e]*")
+
+# Guard: when a header occurs twice, the proxy could read one value and an endpoint the other. A second
+# occurrence of any of these headers is therefore a fault.
+SINGLE_VALUE_HEADERS = FORWARDED_HEADERS | frozenset(
+    b"req-deadline-ms content-length transfer-encoding expect".split()
+)
+
+
+class _OversizedRequestError(Exception):
+    """Raised in a parser callback to stop the parser; never leaves `RequestParser.feed`."""
+
+
+class RequestParser:
+    """Parses one connection's byte stream into requests, within the size limits.
+
+    After a fault nothing more of the stream is parsed: the owner of the connection responds to the requests
+    that were complete before it, then sends the fault's status and closes.
+
+    Attributes:
+        requests: The complete requests, oldest first; the owner removes a request when it has responded.
+        partial: The request that is partly received, None without one.
+        fault: The status of the response to the first part of the stream that is not a valid request.
+        continue_expected: Whether the client waits for an interim response; reset by the owner.
+    """
+
+    def __init__(self, clock: Callable[[], float]) -> None:
+        self._clock = clock
+        self._parser = httptools.HttpRequestParser(self)
+        self.requests: deque[HttpRequest] = deque()
+        self.partial: HttpRequest | None = None
+        self.fault: HTTPStatus | None = None
+        self.continue_expected = False
+        self._in_head = False
+        self._section_bytes = 0  # counted against the limit of the head or of the body
+        self._head_bytes = 0  # received in the reads in which a head stayed incomplete
+
+    def feed(self, data: bytes) -> None:
+        """Parse the next bytes; must not be called after `close`. Raises nothing."""
+        try:
+            self._parser.feed_data(data)
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade):
+            self._fail(HTTPStatus.BAD_REQUEST)
+        if self._in_head:  # Guard: the parser reports a header only once it is complete.
+            self._head_bytes += len(data)
+            # The first of these reads may also hold the body of the previous request.
+            if self._head_bytes > MAX_HEAD_BYTES + MAX_BODY_BYTES:
+                self._fail(HTTPStatus.BAD_REQUEST)
+
+    def cancel_requests(self) -> None:
+        """Cancel the complete requests, because the client has disconnected."""
+        requests, self.requests = self.requests, deque()
+        for request in requests:
+            request.cancel()
+
+    def close(self) -> None:
+        """Release the parser when the connection is lost."""
+        # Guard: the two parsers refer to each other, and the garbage collector rarely visits old objects.
+        # Deleting one reference frees both at once.
+        del self._parser
+
+    def _fail(self, status: HTTPStatus) -> None:
+        if self.fault is None:
+            self.fault = status
+
+    def _fail_oversized(self, status: HTTPStatus) -> None:
+        self._fail(status)
+        # Guard: nothing is read after a fault, but the parser would still report the rest of each read of an
+        # endless head, up to 30,000 headers. An error in a callback stops it, as an error of its own does.
+        raise _OversizedRequestError
+
+    def on_message_begin(self) -> None:
+        """Start a request; like the other `on_` methods, called by httptools."""
+        self.partial = HttpRequest()
+        self._section_bytes = self._head_bytes = 0
+        self._in_head = True
+
+    def on_url(self, url: bytes) -> None:
+        """Append a part of the request target."""
+        self._section_bytes += len(url)
+        if self._section_bytes > MAX_HEAD_BYTES:
+            self._fail_oversized(HTTPStatus.BAD_REQUEST)
+        if self.partial is not None:
+            self.partial.target += url
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """Add a header; a repeated single-value header or a trailer is a fault."""
+        self._section_bytes += len(name) + len(value)
+        if self._section_bytes > MAX_HEAD_BYTES:
+            self._fail_oversized(HTTPStatus.BAD_REQUEST)
+        request = self.partial
+        if request is None or self.fault is not None:
+            return
+        name = name.lower()
+        # Guard: a trailer could overwrite a header of the head that has already been checked. It is a fault.
+        if not self._in_head or (name in SINGLE_VALUE_HEADERS and name in request.headers):
+            self.fault = HTTPStatus.BAD_REQUEST
+        request.headers[name] = value
+
+    def on_headers_complete(self) -> None:
+        """Check the head as a whole."""
+        self._in_head = False
+        request = self.partial
+        if request is None or self.fault is not None:
+            return
+        self._section_bytes = 0
+        headers = request.headers
+        length, coding = headers.get(b"content-length"), headers.get(b"transfer-encoding")
+        # Guard: with both a length and a coding, two readers may disagree on where the request ends, so that
+        # one of them sees a second request (request smuggling). Only one of the two, or none, is accepted.
+        if coding is not None and (length is not None or coding.lower() != b"chunked"):
+            self.fault = HTTPStatus.BAD_REQUEST
+        elif length is not None and int(length) > MAX_BODY_BYTES:
+            self.fault = HTTPStatus.REQUEST_ENTITY_TOO_LARGE
+        elif not TARGET_PATTERN.fullmatch(request.target):
+            self.fault = HTTPStatus.BAD_REQUEST
+        elif self._parser.get_http_version() not in SUPPORTED_VERSIONS:
+            self.fault = HTTPStatus.HTTP_VERSION_NOT_SUPPORTED
+        elif headers.get(b"expect", b"").lower() == b"100-continue" and not self.requests:
+            self.continue_expected = True
+
+    def on_body(self, body: bytes) -> None:
+        """Append a part of the body."""
+        self._section_bytes += len(body)
+        if self._section_bytes > MAX_BODY_BYTES:
+            self._fail_oversized(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
+        if self.partial is not None and self.fault is None:
+            self.partial.body += body
+
+    def on_message_complete(self) -> None:
+        """Queue the request, unless too much is queued already."""
+        request, self.partial = self.partial, None
+        if request is None or self.fault is not None:
+            return
+        request.received_at = self._clock()
+        request.method = self._parser.get_method()
+        request.keep_alive = self._parser.should_keep_alive()
+        # Guard: a client that pipelines requests without end would fill the memory. Their number and the sum
+        # of their bodies are bounded.
+        if (
+            len(self.requests) >= MAX_PIPELINED_REQUESTS
+            or sum(len(queued.body) for queued in self.requests) > MAX_BODY_BYTES
+        ):
+            self.fault = HTTPStatus.TOO_MANY_REQUESTS
+            return
+        self.requests.append(request)
--- /dev/null
+++ b/loadbalancer/http/request_timeouts.py
@@ -0,0 +1,50 @@
+"""Ends, at intervals, the connections that exceed the time-out of their phase."""
+
+from __future__ import annotations
+
+import asyncio
+
+from loadbalancer.http.connection_registry import ConnectionRegistry
+
+REQUEST_TIMEOUT_S = 2.5  # for a complete request, from connecting or from its first byte
+IDLE_TIMEOUT_S = 8.0  # after which an idle connection is closed
+LINGER_TIMEOUT_S = 0.5  # for which bytes that a client sends after its last response are read and dropped
+UNREAD_TIMEOUT_S = 8.0  # after which a last response that its client does not read is truncated
+SWEEP_INTERVAL_S = 0.1
+
+
+class RequestTimeouts:
+    """Sweeps the connections of a registry every `SWEEP_INTERVAL_S` seconds."""
+
+    def __init__(self, registry: ConnectionRegistry, loop: asyncio.AbstractEventLoop) -> None:
+        self._registry = registry
+        self._loop = loop
+        self._timer: asyncio.TimerHandle | None = None
+
+    def start(self) -> None:
+        """Start the sweeps, with one at once; no effect if they have been started before."""
+        if self._timer is None:
+            self._sweep()
+
+    def stop(self) -> None:
+        """Stop the sweeps."""
+        if self._timer is not None:
+            self._timer.cancel()
+
+    def end_overdue(self) -> None:
+        """End each connection that has been in its phase for the phase's time-out."""
+        registry = self._registry
+        now = registry.clock()
+        for connection in registry.awaiting_request.entered_until(now - REQUEST_TIMEOUT_S):
+            connection.expire()
+        for connection in registry.idle.entered_until(now - IDLE_TIMEOUT_S):
+            connection.expire()
+        for connection in registry.lingering.entered_until(now - LINGER_TIMEOUT_S):
+            # Guard: ending the connection truncates a last response that its client reads slowly. Such a
+            # client gets the longer time-out.
+            if not connection.unsent_bytes or connection.phase_since <= now - UNREAD_TIMEOUT_S:
+                connection.abort()
+
+    def _sweep(self) -> None:
+        self.end_overdue()
+        self._timer = self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
--- /dev/null
+++ b/loadbalancer/http/response_parser.py
@@ -0,0 +1,118 @@
+"""Parses an upstream connection's byte stream into responses, within the size limits. No I/O."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from http import HTTPStatus
+
+import httptools
+
+from loadbalancer.http.limits import MAX_HEAD_BYTES
+
+FIRST_FINAL_STATUS = int(HTTPStatus.OK)  # responses with a lower one are interim
+
+
+@dataclass(slots=True, eq=False, repr=False)
+class HttpResponse:
+    """The final response to one request; interim ones are discarded."""
+
+    status: int = 0
+    headers: dict[bytes, bytes] = field(default_factory=dict)  # by lower-case name
+    body: bytearray = field(default_factory=bytearray)
+
+
+class ResponseParser:
+    """Parses the response to one request after another.
+
+    Attributes:
+        response: The response to the current request.
+        complete: Whether the response has been received in full.
+        unusable: Whether the connection must not carry another request: a response exceeds a limit, is
+            malformed, forbids another request, or can be ended only by the end of the connection.
+    """
+
+    def __init__(self, max_body_bytes: int) -> None:
+        self.response = HttpResponse()
+        self.complete = False
+        self.unusable = False
+        self._max_body_bytes = max_body_bytes
+        self._parser = httptools.HttpResponseParser(self)
+        self._in_head = True
+        self._section_bytes = 0  # counted against the limit of the head or of the body
+        self._head_bytes = 0  # received in the reads in which a head stayed incomplete
+
+    def start_response(self) -> None:
+        """Expect the response to the next request."""
+        self.response = HttpResponse()
+        self.complete = False
+        self._in_head = True
+        self._section_bytes = self._head_bytes = 0
+
+    def feed(self, data: bytes) -> None:
+        """Parse the next bytes; must not be called after `close`. Raises nothing."""
+        try:
+            self._parser.feed_data(data)
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade):
+            self.unusable = True
+        if self._in_head:
+            # Guard: the parser reports a header only once it is complete, so that an endless header would
+            # never be counted. The bytes of each read are counted as well, interim responses included.
+            self._head_bytes += len(data)
+            self.unusable = self.unusable or self._head_bytes > MAX_HEAD_BYTES
+
+    def close(self) -> None:
+        """Release the parser when the connection is lost."""
+        # Guard: the two parsers refer to each other, and the garbage collector rarely visits old objects.
+        # Deleting one reference frees both at once.
+        del self._parser
+
+    def on_message_begin(self) -> None:
+        """Refuse a second response to one request; like the other `on_` methods, called by httptools."""
+        if self.complete:
+            self.unusable = True
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """Add a header; trailers are ignored."""
+        self._section_bytes += len(name) + len(value)
+        if self._section_bytes > MAX_HEAD_BYTES:
+            self.unusable = True
+        if self._in_head:
+            self.response.headers[name.lower()] = value
+
+    def on_headers_complete(self) -> None:
+        """Check the length of the body that the head of a final response declares."""
+        self._section_bytes = 0
+        if self.complete or self._parser.get_status_code() < FIRST_FINAL_STATUS:
+            return
+        self._in_head = False
+        headers = self.response.headers
+        length = headers.get(b"content-length")
+        # Guard: a body that is declared too long is not worth waiting for. A body without a declared length
+        # ends with the connection, so that a complete one can't be told from a truncated one. Both are
+        # refused.
+        if length is None:
+            self.unusable = self.unusable or b"transfer-encoding" not in headers
+        elif b"transfer-encoding" in headers or int(length) > self._max_body_bytes:
+            self.unusable = True
+
+    def on_body(self, body: bytes) -> None:
+        """Append a part of the body."""
+        self._section_bytes += len(body)
+        if self._section_bytes > self._max_body_bytes:
+            self.unusable = True
+        if not self.unusable:
+            self.response.body += body
+
+    def on_message_complete(self) -> None:
+        """Complete the response, or discard an interim one."""
+        if self.complete or self.unusable:
+            return
+        status = self._parser.get_status_code()
+        if status < FIRST_FINAL_STATUS:
+            self.response = HttpResponse()
+            self._section_bytes = 0
+            return
+        self.response.status = status
+        self.complete = True
+        if not self._parser.should_keep_alive():
+            self.unusable = True
--- a/loadbalancer/http/socket_state.py
+++ b/loadbalancer/http/socket_state.py
@@ -1,4 +1,4 @@
-"""What the kernel knows of a socket before the event loop has delivered it."""
+"""The state of a socket in the kernel, before the event loop has delivered it."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 def is_readable(fileno: int) -> bool:
     """Whether reading would return bytes, the end of the stream or an error at once.
 
-    Of a listening socket: whether a connection waits to be accepted.
+    For a listening socket: whether a connection waits to be accepted.
     """
     return _has_event(fileno, select.POLLIN | select.POLLRDHUP)
 
 
 def has_unread_data(transport: asyncio.BaseTransport) -> bool:
-    """Whether bytes, the end of the stream or an error wait that the event loop has not delivered yet."""
+    """Whether bytes, the end of the stream or an error have arrived that the event loop has not delivered."""
     return is_readable(transport.get_extra_info("socket").fileno())
 
 
--- a/tests/discovery_server/test_frontend.py
+++ b/tests/discovery_server/test_frontend.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from loadbalancer.http import listener as listener_module
+from loadbalancer.http import request_timeouts
 from tests.discovery_server.cluster import (
     HOSTS,
     Client,
@@ -27,7 +27,7 @@
 
 @pytest.fixture
 def short_request_timeout(monkeypatch):
-    monkeypatch.setattr(listener_module, "REQUEST_TIMEOUT_S", 1.0)
+    monkeypatch.setattr(request_timeouts, "REQUEST_TIMEOUT_S", 1.0)
 
 
 BAD_REQUESTS = {
--- a/tests/http/test_listener.py
+++ b/tests/http/test_listener.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from loadbalancer.http import listener as listener_module
+from loadbalancer.http import request_timeouts
 from loadbalancer.http.listener import HttpListener
 from loadbalancer.http.request import HttpRequest
 from tests.support.loopback import (
@@ -61,7 +61,7 @@
 
 @pytest.fixture
 def short_request_timeout(monkeypatch):
-    monkeypatch.setattr(listener_module, "REQUEST_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(request_timeouts, "REQUEST_TIMEOUT_S", 0.2)
 
 
 @pytest.mark.usefixtures("short_request_timeout")
@@ -97,7 +97,7 @@
 
 
 def test_idle_connection_is_closed_after_the_idle_timeout(monkeypatch):
-    monkeypatch.setattr(listener_module, "IDLE_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(request_timeouts, "IDLE_TIMEOUT_S", 0.1)
 
     async def main():
         async with running_proxy(LoopbackServer()) as proxy:
--- a/tests/http/test_server_connection.py
+++ b/tests/http/test_server_connection.py
@@ -6,7 +6,7 @@
 import gc
 import weakref
 
-from loadbalancer.http.request import MAX_PIPELINED_REQUESTS
+from loadbalancer.http.request_parser import MAX_PIPELINED_REQUESTS
 from tests.support.loopback import (
     HttpClient,
     LoopbackServer,
--- a/tests/proxy/test_client_disconnects.py
+++ b/tests/proxy/test_client_disconnects.py
@@ -218,8 +218,8 @@
         async def answers(message):
             return reply(200, BODY)
 
-        monkeypatch.setattr("loadbalancer.http.listener.IDLE_TIMEOUT_S", 0.0)
-        monkeypatch.setattr("loadbalancer.http.listener.LINGER_TIMEOUT_S", 0.0)
+        monkeypatch.setattr("loadbalancer.http.request_timeouts.UNREAD_TIMEOUT_S", 0.0)
+        monkeypatch.setattr("loadbalancer.http.request_timeouts.LINGER_TIMEOUT_S", 0.0)
         async with running_proxy(LoopbackServer(answers)) as proxy, contextlib.AsyncExitStack() as stack:
             send = policy_sending_to("s0")
 
@@ -237,14 +237,14 @@
             own.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1)
             raw.sendall(request("post", "first") + request("post", "abandoned"))
             await until(lambda: "abandoned" in proxy.requests.by_id)  # the first response waits to be read
-            assert connection.has_unsent_data
+            assert connection.unsent_bytes
             raw.shutdown(socket.SHUT_WR)
             await until(lambda: connection._transport.is_closing())
             assert [event.request_id for event in scripted.events_of(ClientDisconnected)] == ["abandoned"]
             assert (proxy.requests.open_count, proxy.requests.by_id) == (0, {})
             proxy._execute(Send("abandoned", "s0"))
             assert scripted.events_of(AttemptOutcome)[-1].result is AttemptResult.NOT_SENT
-            proxy.listener._sweep()
+            proxy.listener.timeouts.end_overdue()
             await until(lambda: not proxy.listener.connections)
 
     asyncio.run(main())
--- a/tests/proxy/test_descriptor_limits.py
+++ b/tests/proxy/test_descriptor_limits.py
@@ -13,7 +13,8 @@
 
 import pytest
 
-from loadbalancer.http.listener import EXCESS_ACCEPT_BATCHES, MAX_CANDIDATES_EXAMINED
+from loadbalancer.http.eviction import MAX_CANDIDATES_EXAMINED
+from loadbalancer.http.listener import EXCESS_ACCEPT_BATCHES
 from loadbalancer.http.socket_state import is_readable
 from loadbalancer.proxy.config import DOWNSTREAM_FRACTION, RESERVED_DESCRIPTORS, UPSTREAM_FRACTION
 from tests.support.loopback import (
--- a/tests/proxy/test_graceful_shutdown.py
+++ b/tests/proxy/test_graceful_shutdown.py
@@ -8,6 +8,7 @@
 
 import pytest
 
+from loadbalancer.http.eviction import evict_one
 from loadbalancer.proxy import graceful_shutdown
 from loadbalancer.proxy.graceful_shutdown import shut_down
 from tests.support.loopback import (
@@ -82,7 +83,7 @@
             late, held = await HttpClient.to(proxy), await HttpClient.to(proxy)
             late.writer.write(request("post", "late")[:30])  # so that it is not closed as idle
             held.writer.write(request("read", "held"))
-            await until(lambda: server.seen and proxy.listener.awaiting_request)
+            await until(lambda: server.seen and proxy.listener.registry.awaiting_request)
             stopped = asyncio.ensure_future(shut_down(proxy))
             assert (await held.read_response()).status == 503
             late.writer.write(request("post", "late")[30:])
@@ -104,7 +105,7 @@
             held, half = await HttpClient.to(proxy), await HttpClient.to(proxy)
             held.writer.write(request("read", "held"))
             half.writer.write(request("post", "half")[:30])
-            await until(lambda: server.seen and proxy.listener.awaiting_request)
+            await until(lambda: server.seen and proxy.listener.registry.awaiting_request)
             stopped = asyncio.ensure_future(shut_down(proxy))
             idle = await HttpClient.to(proxy)
             assert await idle.reader.read() == b""  # by now idle connections are being closed
@@ -151,8 +152,8 @@
         async def answers(message):
             return reply(200, BODY)
 
-        monkeypatch.setattr("loadbalancer.http.listener.LINGER_TIMEOUT_S", 0.0)
-        monkeypatch.setattr("loadbalancer.http.listener.IDLE_GRACE_S", 0.0)
+        monkeypatch.setattr("loadbalancer.http.request_timeouts.LINGER_TIMEOUT_S", 0.0)
+        monkeypatch.setattr("loadbalancer.http.eviction.IDLE_GRACE_S", 0.0)
         async with running_proxy(LoopbackServer(answers)) as proxy, contextlib.AsyncExitStack() as stack:
             raw = stack.enter_context(socket.socket())
             raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1)
@@ -165,9 +166,9 @@
             await until(lambda: proxy.statistics.responses[200])
             assert connection._transport.get_write_buffer_size()
             # All that closes connections without a request has its turn.
-            proxy.listener._sweep()
+            proxy.listener.timeouts.end_overdue()
             proxy.listener.close_idle_connections()
-            proxy.listener._evict_one(0.0) if keep else None
+            evict_one(proxy.listener.registry, 0.0) if keep else None
             raw.setblocking(False)
             got = b""
             while not got.endswith(BODY):
