--- a/loadbalancer/discovery_server/__init__.py
+++ b/loadbalancer/discovery_server/__init__.py
@@ -1,1 +1,1 @@
-"""The discovery server: carries endpoint lists to all nodes, by the discovery protocol on both sides."""
+"""The discovery server: distributes endpoint lists to nodes, as a client and a server of one protocol."""
--- a/loadbalancer/discovery_server/__main__.py
+++ b/loadbalancer/discovery_server/__main__.py
@@ -23,7 +23,7 @@
 
 
 def configure_logging() -> BoundLogger:
-    """Write JSON lines to standard error, for this package and for what it uses alike."""
+    """Write JSON lines to standard error, for this package and the modules that it uses."""
     shared: list[Processor] = [
         structlog.stdlib.add_log_level,
         structlog.processors.TimeStamper(fmt="iso", utc=True),
@@ -44,8 +44,8 @@
         )
     )
     logging.basicConfig(level=logging.INFO, handlers=[handler])
-    # Guard: the watch client logs each call that fails, and a discovery server has thousands of watches; its
-    # followers log an outage once.
+    # Guard: the watch client logs a warning for each failed request. A discovery server may follow thousands
+    # of lists, so an outage of its upstream would flood the log. The followers log each outage once instead.
     logging.getLogger("loadbalancer").setLevel(logging.ERROR)
     logging.getLogger(PROGRAM).setLevel(logging.INFO)
     log: BoundLogger = structlog.get_logger(PROGRAM)
@@ -53,7 +53,7 @@
 
 
 async def serve(config: Config, log: BoundLogger) -> None:
-    """Run until SIGTERM or SIGINT.
+    """Run a server until SIGTERM or SIGINT, then shut it down gracefully.
 
     Raises:
         OSError: The state directory can't be used, or an address can't be bound.
@@ -87,7 +87,7 @@
 
 
 def _exit(message: str, code: int) -> NoReturn:
-    """End the process with one line on standard error."""
+    """End the process with this exit code, and the message as one line on standard error."""
     click.echo(f"{PROGRAM}: {' '.join(message.split())}", err=True)
     sys.exit(code)
 
--- a/loadbalancer/discovery_server/config.py
+++ b/loadbalancer/discovery_server/config.py
@@ -1,4 +1,4 @@
-"""The configuration of a discovery server process: one TOML file, read once at the start."""
+"""The configuration of a discovery server process: one TOML file, which is read once at the start."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 
 
 class ConfigurationError(ValueError):
-    """A configuration that can't be used. The message is one line and names the place of the fault.
+    """The configuration can't be used. The message is one line and names the setting at fault.
 
     Attributes:
-        path: The setting at fault, such as `$.lists[0].listen`; empty if the file as a whole is at fault.
+        path: The setting at fault, such as `$.lists[0].listen`; empty if the file as a whole is malformed.
     """
 
     def __init__(self, message: str, path: str = "") -> None:
@@ -44,7 +44,14 @@
         "max_log_bytes": "log_bytes",
     },
 ):
-    """What one list may hold: entries and their bytes of JSON, and the same of its change log."""
+    """The limits of one list.
+
+    Attributes:
+        max_entries: Entries of the list.
+        max_bytes: Bytes of JSON of all its entries.
+        max_log_entries: Entries of its change log: one for each change set, and one for each of its records.
+        max_log_bytes: Bytes of JSON of all records in its change log.
+    """
 
     max_entries: Count = 20_000
     max_bytes: Count = 8 * 1024 * 1024
@@ -63,14 +70,14 @@
         "unread_timeout_ms": "unread_ms",
     },
 ):
-    """What the whole process may hold.
+    """The limits of the whole process.
 
     Attributes:
-        max_connections: Clients' connections, of all lists together.
-        max_watches: Waiting watches, of all lists together.
+        max_connections: Connections of clients, all lists together.
+        max_watches: Waiting watches, all lists together.
         max_unsent_bytes: Bytes of responses that clients have not read yet, all clients together.
-        unread_timeout_ms: Time after which a client that leaves a part of its response unread is
-            disconnected.
+        unread_timeout_ms: Time in milliseconds after which a client that leaves a part of its response unread
+            is disconnected.
     """
 
     max_connections: Count = 4_000
@@ -80,7 +87,13 @@
 
 
 class ListConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One endpoint list: where it is served, and its upstreams in order of preference."""
+    """One endpoint list.
+
+    Attributes:
+        name: Identifies the list in log lines, and names its snapshot files.
+        listen: The address and port at which the list is served; port 0 lets the kernel choose one.
+        upstreams: Addresses of the registry or of other discovery servers, in order of preference.
+    """
 
     name: ListName
     listen: str
@@ -102,14 +115,15 @@
     """The configuration of one process; the file's keys are those of `docs/discovery-server.md`.
 
     Attributes:
-        state_dir: The directory of the snapshots, used by one process at a time.
-        lists: The endpoint lists that it serves.
-        tag: The low bits of its revisions; None: drawn at random, then read from the snapshot.
-        seed: Of the random source of the backoff; None: drawn from the system.
-        watch_timeout_ms: How long a watch of an upstream waits.
-        statistics_interval_ms: The time between two log lines of statistics.
-        list_limits: What each list may hold.
-        process_limits: What the whole process may hold.
+        state_dir: The directory of the snapshots, which one process uses at a time.
+        lists: The endpoint lists that the process serves.
+        tag: The low bits of each revision that the process issues; None: the tag of the list's snapshot, or a
+            random one.
+        seed: The seed of the random tags and of the backoff's jitter; None: the system's random source.
+        watch_timeout_ms: How long a watch of an upstream waits for a change, in milliseconds.
+        statistics_interval_ms: The time between two log events `statistics`, in milliseconds.
+        list_limits: The limits of each list.
+        process_limits: The limits of the whole process.
     """
 
     state_dir: str
@@ -123,10 +137,10 @@
 
 
 def parse_config(text: bytes) -> Config:
-    """The configuration in this TOML.
+    """Parse the TOML of a configuration file.
 
     Raises:
-        ConfigurationError: It is malformed, or a value is missing or wrong.
+        ConfigurationError: The text is not TOML, or a setting is missing, unknown or out of range.
     """
     try:
         config = msgspec.toml.decode(text, type=Config)
@@ -138,7 +152,7 @@
 
 
 def read_config(path: Path) -> Config:
-    """The configuration in this file.
+    """Read and parse a configuration file.
 
     Raises:
         ConfigurationError: See `parse_config`.
--- a/loadbalancer/discovery_server/frontend.py
+++ b/loadbalancer/discovery_server/frontend.py
@@ -1,4 +1,4 @@
-"""The clients' side: one HTTP server for all lists, each at an address of its own."""
+"""Serves endpoint lists to clients: one HTTP server, which listens at a separate address for each list."""
 
 from __future__ import annotations
 
@@ -10,43 +10,42 @@
 from loadbalancer.discovery_server.update_pipeline import UpdatePipeline
 from loadbalancer.discovery_server.watch_query import QueryError, WatchQuery, parse_query
 from loadbalancer.discovery_server.watch_registry import Watch, WatchRegistry
+from loadbalancer.discovery_server.watch_scheduler import WatchScheduler
 from loadbalancer.http.addresses import Address
 from loadbalancer.http.listener import HttpListener
 from loadbalancer.http.request import HttpRequest
 
 PATH = b"/discovery/hosts"
 RETRY_AFTER_MS = 1000.0
-FLUSH_BATCH_SIZE = 64  # responses written in one turn of the event loop
-UNREAD_RECHECK_S = 0.02  # between two checks whether clients have read, while too much is unread
-EXPIRY_LEAD_MS = 1.0  # a timer may fire early by the resolution of the loop's clock
+LINGER_TIMEOUT_S = 0.5  # for which a shutdown waits for clients to read their last responses
+LINGER_POLL_S = 0.01
 
 
 class DiscoveryFrontend:
-    """Serves any number of lists within one limit of connections.
+    """Serves any number of lists within one connection limit. Must be created within a running event loop.
 
     Attributes:
-        listener: Accepts the connections of all lists; each carries its list's pipeline as its context.
-        registry: The waiting watches.
-        rejected: Requests answered 4xx or 503 since the start.
         unread: The responses that clients have not read yet.
+        rejected_requests: Requests with a 4xx or 503 response since the start.
     """
 
-    def __init__(
-        self,
-        registry: WatchRegistry,
-        max_connections: int,
-        max_unsent_bytes: int,
-        unread_timeout_ms: float,
-    ) -> None:
-        """A frontend that listens nowhere yet; needs a running event loop."""
-        self.registry = registry
-        self.listener = HttpListener(max_connections, self._on_request)
-        self.rejected = 0
+    def __init__(self, max_connections: int, registry: WatchRegistry, unread: UnreadResponses) -> None:
+        """Create a frontend that doesn't listen yet."""
+        self.unread = unread
+        self.rejected_requests = 0
         self._loop = asyncio.get_running_loop()
-        self.unread = UnreadResponses(self._loop, max_unsent_bytes, unread_timeout_ms)
-        self._flush_scheduled = False
-        self._expiry_timer: asyncio.TimerHandle | None = None
-        self._expiry_ms: float | None = None
+        self._listener = HttpListener(max_connections, self._on_request)
+        self._watches = WatchScheduler(registry, unread)
+
+    @property
+    def ready(self) -> bool:
+        """Whether requests for readiness get a 200."""
+        return self._listener.ready
+
+    @property
+    def connection_count(self) -> int:
+        """The number of open connections."""
+        return len(self._listener.connections)
 
     async def serve_list(self, pipeline: UpdatePipeline, address: Address) -> Address:
         """Serve a list at this address; returns the bound one, which differs where the port is 0.
@@ -55,32 +54,42 @@
             OSError: The address can't be bound.
         """
         host, port = address
-        return await self.listener.listen(host, port, context=pipeline)
+        return await self._listener.listen(host, port, context=pipeline)
 
     def start(self) -> None:
-        """Begin to drop clients who do not read."""
+        """Start to disconnect clients that don't read."""
         self.unread.start()
 
+    def set_ready(self, *, ready: bool) -> None:
+        """Set the response to requests for readiness: 200 if ready, else 503."""
+        self._listener.ready = ready
+
+    def notify(self, store: EndpointStore) -> None:
+        """Respond to the watches that a change of this list concerns."""
+        self._watches.notify(store)
+
+    async def drain(self) -> None:
+        """Stop accepting, respond to all watches, and wait a bounded time until clients have read them."""
+        self._listener.draining = True
+        self._listener.close_listening_sockets()
+        await self._watches.complete_all()
+        self._listener.close_idle_connections()
+        await self._wait_for_clients()
+
     def close(self) -> None:
-        """Abort all connections, stop listening and end all timers."""
-        for connection in list(self.listener.connections):
+        """Abort all connections, stop listening and stop all timers."""
+        for connection in list(self._listener.connections):
             connection.abort()
-        self.listener.close()
-        if self._expiry_timer is not None:
-            self._expiry_timer.cancel()
+        self._listener.close()
+        self._watches.close()
         self.unread.close()
 
-    async def drain(self) -> None:
-        """Respond to all watches, and accept no more connections."""
-        self.listener.draining = True
-        self.listener.close_listening_sockets()
-        self.registry.complete_all()
-        while self.registry.outbox_size:
-            self.registry.flush(FLUSH_BATCH_SIZE)
-            await asyncio.sleep(0)
-        self.listener.close_idle_connections()
-
-    # ------------------------------------------------------------------- requests
+    async def _wait_for_clients(self) -> None:
+        deadline = self._loop.time() + LINGER_TIMEOUT_S
+        while self._loop.time() < deadline:
+            if not self._listener.connections:
+                return
+            await asyncio.sleep(LINGER_POLL_S)
 
     def _on_request(self, request: HttpRequest) -> None:
         path, _, query = request.target.partition(b"?")
@@ -98,32 +107,34 @@
 
     def _serve_query(self, request: HttpRequest, query: WatchQuery) -> None:
         pipeline = request.connection.context
-        assert isinstance(pipeline, UpdatePipeline), "`serve_list` gives no other context"
+        assert isinstance(pipeline, UpdatePipeline), "`serve_list` sets no other context"
         if not pipeline.store.initialized:
             self._reject(request, HTTPStatus.SERVICE_UNAVAILABLE)
             return
-        since, timeout_ms = query
-        body = pipeline.response_since(since)
-        if body is not None and self.unread.over_limit():
-            self._reject(request, HTTPStatus.SERVICE_UNAVAILABLE)
-        elif body is not None:
-            self._respond(request, body)
-        elif since is None or timeout_ms == 0 or self.listener.draining:
+        body = pipeline.response_since(query.since)
+        if body is not None:
+            self._respond_unless_over_limit(request, body)
+        elif query.since is None or query.timeout_ms == 0 or self._listener.draining:
             self._respond(request, pipeline.store.responses.unchanged())
         else:
-            self._add_watch(pipeline.store, request, since, timeout_ms)
+            self._add_watch(request, pipeline.store, query.since, query.timeout_ms)
 
-    def _add_watch(self, store: EndpointStore, request: HttpRequest, since: int, timeout_ms: int) -> None:
+    def _respond_unless_over_limit(self, request: HttpRequest, body: bytes) -> None:
+        self.unread.enforce_limit()
+        if self.unread.over_limit:
+            self._reject(request, HTTPStatus.SERVICE_UNAVAILABLE)
+        else:
+            self._respond(request, body)
+
+    def _add_watch(self, request: HttpRequest, store: EndpointStore, since: int, timeout_ms: int) -> None:
         watch = Watch(store, since, lambda body: self._respond(request, body))
-        now_ms = self._loop.time() * 1000.0
-        if not self.registry.add(watch, now_ms + timeout_ms):
+        if self._watches.add(watch, timeout_ms):
+            request.on_disconnect = lambda: self._watches.cancel(watch)
+        else:
             self._reject(request, HTTPStatus.SERVICE_UNAVAILABLE)
-            return
-        request.on_disconnect = lambda: self.registry.cancel(watch)
-        self._schedule_expiry()
 
     def _reject(self, request: HttpRequest, status: HTTPStatus) -> None:
-        self.rejected += 1
+        self.rejected_requests += 1
         retry_after_ms = RETRY_AFTER_MS if status is HTTPStatus.SERVICE_UNAVAILABLE else 0.0
         request.respond(status, b"", retry_after_ms)
 
@@ -131,35 +142,4 @@
         request.respond(HTTPStatus.OK, body)
         unsent_bytes = request.connection.unsent_bytes
         if unsent_bytes:
-            self.unread.add(request.connection, unsent_bytes, len(body))
-
-    # ---------------------------------------------------------- batches and expiry
-
-    def schedule_flush(self) -> None:
-        """Begin to write the responses that the registry has ready."""
-        if not self._flush_scheduled:
-            self._flush_scheduled = True
-            self._loop.call_soon(self._flush)
-
-    def _flush(self) -> None:
-        if self.registry.outbox_size and self.unread.over_limit():
-            self._loop.call_later(UNREAD_RECHECK_S, self._flush)
-            return
-        # Guard: one change for thousands of watches held the loop until the last of them was written.
-        self._flush_scheduled = self.registry.flush(FLUSH_BATCH_SIZE)
-        if self._flush_scheduled:
-            self._loop.call_soon(self._flush)
-
-    def _schedule_expiry(self) -> None:
-        deadline_ms = self.registry.next_deadline_ms
-        if deadline_ms is not None and (self._expiry_ms is None or deadline_ms < self._expiry_ms):
-            if self._expiry_timer is not None:
-                self._expiry_timer.cancel()
-            self._expiry_ms = deadline_ms
-            self._expiry_timer = self._loop.call_at(deadline_ms / 1000.0, self._expire)
-
-    def _expire(self) -> None:
-        self._expiry_timer = self._expiry_ms = None
-        self.registry.expire(self._loop.time() * 1000.0 + EXPIRY_LEAD_MS)
-        self.schedule_flush()
-        self._schedule_expiry()
+            self.unread.track(request.connection, unsent_bytes, len(body))
--- /dev/null
+++ b/loadbalancer/discovery_server/upstream_list.py
@@ -0,0 +1,33 @@
+"""Endpoint lists as an upstream sends them, with their entries unchanged."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from loadbalancer.discovery.endpoint_list import EndpointList, parse_endpoint_list
+from loadbalancer.discovery_server.records import EndpointUpdate, record_from_entry
+
+
+@dataclass(slots=True, frozen=True)
+class UpstreamEndpointList(EndpointList):
+    """An endpoint list and the update with its entries as the upstream sent them."""
+
+    update: EndpointUpdate
+
+
+def parse_upstream_list(document: object) -> UpstreamEndpointList:
+    """Parse the decoded JSON of an upstream's response.
+
+    Raises:
+        EndpointListError: The list or one of its entries is malformed.
+    """
+    endpoint_list = parse_endpoint_list(document)
+    assert isinstance(document, dict), "the parser has checked it"
+    records = tuple(record_from_entry(entry) for entry in document["targets"])
+    return UpstreamEndpointList(
+        endpoint_list.revision,
+        endpoint_list.complete,
+        endpoint_list.endpoints,
+        endpoint_list.addresses,
+        EndpointUpdate(endpoint_list.complete, records),
+    )
--- a/loadbalancer/discovery_server/watch_query.py
+++ b/loadbalancer/discovery_server/watch_query.py
@@ -1,4 +1,4 @@
-"""The query of a request for an endpoint list: the revision that the client holds, and how long it waits."""
+"""Parses the query of a request for an endpoint list: the client's revision, and how long it waits."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 class QueryError(ValueError):
-    """A query that is not of the protocol's form."""
+    """A query that the protocol doesn't allow."""
 
 
 class WatchQuery(NamedTuple):
-    """The values of a query.
+    """The parameters of a request for an endpoint list.
 
     Attributes:
-        since: The revision that the client holds; None: it wants the complete list.
-        timeout_ms: How long it waits for a change; 0: not at all.
+        since: The revision that the client holds; None if it requests the complete list.
+        timeout_ms: How long the client waits for a change, in milliseconds; 0 if it doesn't wait.
     """
 
     since: int | None
@@ -27,10 +27,10 @@
 
 
 def parse_query(query: bytes) -> WatchQuery:
-    """The values of the part of a request's target after the question mark; unknown parameters are ignored.
+    """Parse the part of a request target after the question mark; unknown parameters are ignored.
 
     Raises:
-        QueryError: A parameter is malformed, or one of the protocol's comes twice.
+        QueryError: A parameter is malformed, or one of the protocol's parameters is repeated.
     """
     since: int | None = None
     timeout_ms: int | None = None
--- a/tests/discovery_server/builders.py
+++ b/tests/discovery_server/builders.py
@@ -10,7 +10,7 @@
 from loadbalancer.discovery_server.endpoint_store import EndpointStore
 from loadbalancer.discovery_server.records import EndpointUpdate, Snapshot, record_from_entry
 from loadbalancer.discovery_server.revisions import EPOCH_MS
-from loadbalancer.discovery_server.upstream_follower import parse_upstream_list
+from loadbalancer.discovery_server.upstream_list import parse_upstream_list
 
 NOW_MS = EPOCH_MS + 1e11
 LIST_NAME = "s"
--- a/tests/discovery_server/cluster.py
+++ b/tests/discovery_server/cluster.py
@@ -151,9 +151,9 @@
 ) -> asyncio.Task[ListResponse]:
     """A watch that the server has registered; on a connection of its own unless one is given."""
     client = client or await Client.connect(address_of(server))
-    before = server.registry.count
+    before = server.statistics().waiting_watches
     watch = asyncio.create_task(client.watch(since))
-    await until(lambda: server.registry.count == before + 1)
+    await until(lambda: server.statistics().waiting_watches == before + 1)
     return watch
 
 
--- a/tests/discovery_server/model.py
+++ b/tests/discovery_server/model.py
@@ -21,7 +21,7 @@
 from loadbalancer.discovery_server.snapshot_store import SnapshotStore
 from loadbalancer.discovery_server.snapshot_writer import SnapshotWriter
 from loadbalancer.discovery_server.update_pipeline import UpdatePipeline
-from loadbalancer.discovery_server.upstream_follower import parse_upstream_list
+from loadbalancer.discovery_server.upstream_list import parse_upstream_list
 from loadbalancer.discovery_server.watch_registry import Watch, WatchRegistry
 from tests.support.model_time import ModelLoop
 
--- a/tests/discovery_server/test_frontend.py
+++ b/tests/discovery_server/test_frontend.py
@@ -52,7 +52,7 @@
     async def main():
         registry = await Registry(**ready("a")).start()
         async with discovery_server(tmp_path, registry.endpoint) as server:
-            await until(lambda: server.frontend.listener.ready)
+            await until(lambda: server.ready)
             revision = (await get_list(server)).revision
             watches = [await start_watch(server, revision) for _ in range(5)]
             for name, (data, statuses) in BAD_REQUESTS.items():
@@ -67,7 +67,7 @@
                 client.writer.close()
             registry.set(**ready("a", "b"))
             assert [(await watch)[1:] for watch in watches] == [(False, ["b"])] * 5
-            await until(lambda: server.registry.count == 0)
+            await until(lambda: server.statistics().waiting_watches == 0)
         registry.stop()
 
     asyncio.run(main())
@@ -78,7 +78,7 @@
         registry = await Registry(**ready("a")).start()
         limits = {"max_watches": 5, "max_connections": 8}
         async with discovery_server(tmp_path, registry.endpoint, **limits) as server:
-            await until(lambda: server.frontend.listener.ready)
+            await until(lambda: server.ready)
             revision = (await get_list(server)).revision
             watches = [await start_watch(server, revision) for _ in range(5)]
             for _ in range(20):
@@ -86,7 +86,7 @@
                 message = await client.get(f"{HOSTS}?since={revision}&timeout_ms=60000")
                 assert (message.status, message.headers["retry-after"]) == (503, "1.000")
             silent = [await Client.connect(address_of(server)) for _ in range(100)]
-            await until(lambda: len(server.frontend.listener.connections) <= 9)
+            await until(lambda: server.statistics().connections <= 9)
             registry.set(**ready("a", "b"))
             assert [(await watch)[1:] for watch in watches] == [(False, ["b"])] * 5
             for client in silent:
@@ -115,13 +115,13 @@
         many = [f"s{index}" for index in range(3000)]
         registry = await Registry(**ready(*many)).start()
         async with discovery_server(tmp_path, registry.endpoint, **limits) as server:
-            await until(lambda: server.frontend.listener.ready)
-            unread = server.frontend.unread
+            await until(lambda: server.ready)
+            unread = server.unread
             revision = (await get_list(server)).revision
             slow = connect_without_reading(server)
             for _ in range(30):  # complete lists of some 300 kB, of which it reads none
                 slow.send(b"GET /discovery/hosts HTTP/1.1\r\nHost: x\r\n\r\n")
-            await until(lambda: unread.connections)
+            await until(lambda: unread.connection_count)
             watches = [await start_watch(server, revision) for _ in range(5)]
             registry.set(**ready(*many, "b"))
             assert [(await watch)[1:] for watch in watches] == [(False, ["b"])] * 5
@@ -131,7 +131,7 @@
                     await asyncio.sleep(0.01)
             assert (await get_list(server)).complete
             slow.close()
-            assert (unread.dropped_clients, unread.connections) == (1, {})
+            assert (unread.dropped_clients, unread.connection_count) == (1, 0)
         registry.stop()
 
     asyncio.run(main())
@@ -141,11 +141,11 @@
     async def main():
         registry = await Registry(**ready("a")).start()
         async with discovery_server(tmp_path, registry.endpoint) as server:
-            await until(lambda: server.frontend.listener.ready)
+            await until(lambda: server.ready)
             client = await Client.connect(address_of(server))
             watch = await start_watch(server, (await get_list(server)).revision, client)
             client.writer.close()
-            await until(lambda: server.registry.count == 0)
+            await until(lambda: server.statistics().waiting_watches == 0)
             await asyncio.gather(watch, return_exceptions=True)
         registry.stop()
 
--- a/tests/discovery_server/test_server.py
+++ b/tests/discovery_server/test_server.py
@@ -6,7 +6,7 @@
 
 import orjson
 
-from loadbalancer.discovery_server import upstream_follower
+from loadbalancer.discovery_server import upstream_selector
 from loadbalancer.discovery_server.config import ListLimits
 from loadbalancer.proxy.proxy import Proxy
 from tests.discovery_server.cluster import (
@@ -30,20 +30,19 @@
             discovery_server(tmp_path / "region", registry.endpoint) as region,
             discovery_server(tmp_path / "zone", endpoint_of(region)) as zone,
         ):
-            await until(lambda: zone.frontend.listener.ready)
+            await until(lambda: zone.ready)
             node = Proxy(config(endpoint_of(zone)))
             await node.start()
             await until(lambda: set(node.policy.endpoints.by_name) == {"a"})
             revision, complete, uids = await get_list(zone)
             assert (complete, uids) == (True, ["a"])
             watches = [await start_watch(zone, revision) for _ in range(100)]
-            responses = zone.pipelines["s"].store.responses
-            before = responses.encodings
+            before = zone.statistics().encodings
             registry.set(**ready("a", "b"))
             deltas = await asyncio.gather(*watches)
             assert {(delta.complete, *delta.uids) for delta in deltas} == {(False, "b")}
             assert min(delta.revision for delta in deltas) > revision
-            assert responses.encodings == before + 1
+            assert zone.statistics().encodings == before + 1
             await until(lambda: set(node.policy.endpoints.by_name) == {"a", "b"})
             registry.set(**ready("b"))
             await until(lambda: set(node.policy.endpoints.by_name) == {"b"})
@@ -57,11 +56,11 @@
     async def main():
         registry = await Registry(**ready("a", "b")).start()
         async with discovery_server(tmp_path, registry.endpoint) as server:
-            await until(lambda: server.frontend.listener.ready)
+            await until(lambda: server.ready)
             first = await get_list(server)
         registry.stop()
         async with discovery_server(tmp_path, registry.endpoint) as server:
-            assert server.frontend.listener.ready
+            assert server.ready
             assert await get_list(server) == first
             client = await Client.connect(address_of(server))
             revision = (await client.watch(first.revision, timeout_ms=1)).revision
@@ -96,7 +95,7 @@
         first, second = await Registry(**ready("a", "b")).start(), await Registry(**ready("b", "c")).start()
         first.rev = second.rev = 5
         async with discovery_server(tmp_path, first.endpoint, second.endpoint) as server:
-            await until(lambda: server.frontend.listener.ready)
+            await until(lambda: server.ready)
             client = await Client.connect(address_of(server))
             revision, _, uids = await client.get_list()
             assert uids == ["a", "b"]
@@ -126,7 +125,7 @@
 
 
 def test_malformed_or_too_long_answers_of_an_upstream_change_nothing(tmp_path, monkeypatch):
-    monkeypatch.setattr(upstream_follower, "MAX_BACKOFF_S", 0.1)
+    monkeypatch.setattr(upstream_selector, "MAX_BACKOFF_S", 0.1)
 
     async def main():
         answers = [*UNUSABLE_ANSWERS]
@@ -140,7 +139,7 @@
         upstream = await LoopbackServer(script).start()
         limits = ListLimits(max_entries=5)
         async with discovery_server(tmp_path, upstream.endpoint, list_limits=limits) as server:
-            await until(lambda: server.frontend.listener.ready)
+            await until(lambda: server.ready)
             revision, _, uids = await get_list(server)
             assert uids == ["a"]
             watch = await start_watch(server, revision)
--- a/tests/discovery_server/test_upstream_follower.py
+++ b/tests/discovery_server/test_upstream_follower.py
@@ -7,11 +7,8 @@
 
 import pytest
 
-from loadbalancer.discovery_server.upstream_follower import (
-    MAX_BACKOFF_S,
-    UpstreamFollower,
-    UpstreamSelector,
-)
+from loadbalancer.discovery_server.upstream_follower import UpstreamFollower
+from loadbalancer.discovery_server.upstream_selector import MAX_BACKOFF_S, UpstreamSelector
 from tests.support.model_time import FAULTS, DiscoveryModel, run_in_model_time
 
 WATCH_TIMEOUT_MS = 3000.0
@@ -93,7 +90,11 @@
 def test_backoff_is_short_at_first_bounded_spread_and_reproducible():
     def backoffs(seed, failures):
         selector = UpstreamSelector(3, Random(seed))
-        return [selector.record_failure() for _ in range(failures)], selector.index
+        drawn = []
+        for _ in range(failures):
+            selector.record_failure()
+            drawn.append(selector.backoff_s)
+        return drawn, selector.index
 
     first = sorted(backoffs(seed, 1)[0][0] for seed in range(1000))
     late = sorted(backoffs(seed, 2000)[0][-1] for seed in range(200))
