--- a/benchmarks/call_profile.py
+++ b/benchmarks/call_profile/__main__.py
@@ -17,7 +17,8 @@
 import click
 import msgspec
 
-from benchmarks.node_setup import (
+from benchmarks.call_profile.profiled_proxy import OUTPUT_VARIABLE, START_SIGNAL, STOP_SIGNAL, ProfileCounts
+from benchmarks.support.node_setup import (
     DEFAULT_LIST_SIZES,
     ORDINARY_RATE,
     WARM_UP_S,
@@ -25,9 +26,9 @@
     node_setup,
     stop_garbage_collection,
 )
-from benchmarks.nodes import START_TIMEOUT_S
-from benchmarks.open_loop import MICROSECONDS_PER_S, MicrosecondEventLoop
-from benchmarks.options import (
+from benchmarks.support.nodes import START_TIMEOUT_S
+from benchmarks.support.open_loop import MICROSECONDS_PER_S, MicrosecondEventLoop
+from benchmarks.support.options import (
     make_plan,
     out_option,
     quick_option,
@@ -35,9 +36,8 @@
     service_ms_option,
     sizes_option,
 )
-from benchmarks.processes import cpu_seconds
-from benchmarks.profiled_proxy import OUTPUT_VARIABLE, START_SIGNAL, STOP_SIGNAL, ProfileCounts
-from benchmarks.report import MIN_SLOPE_SIZES, Slope, format_table, linear_regression, write_results
+from benchmarks.support.processes import cpu_seconds
+from benchmarks.support.report import MIN_SLOPE_SIZES, Slope, format_table, linear_regression, write_results
 
 LISTED_FUNCTIONS = 12  # of each size, those with the most samples
 PROFILE_POLL_S = 0.01
@@ -107,7 +107,7 @@
             proxy = await setup.start_proxy(
                 size,
                 list_server,
-                module="benchmarks.profiled_proxy",
+                module="benchmarks.call_profile.profiled_proxy",
                 environment={OUTPUT_VARIABLE: str(outputs[size])},
             )
             await setup.client.run([proxy.address], plan.rate, WARM_UP_S)
--- a/benchmarks/profiled_proxy.py
+++ b/benchmarks/call_profile/profiled_proxy.py
@@ -1,4 +1,4 @@
-"""A real proxy that samples itself, configured as the proxy is: `python -m benchmarks.profiled_proxy`.
+"""A real proxy that samples itself, configured as the proxy is: `benchmarks.call_profile.profiled_proxy`.
 
 SIGUSR1 starts taking a sample of the running function each few milliseconds of processor time; SIGUSR2 stops
 it and writes all counts so far, a `ProfileCounts`, to the file that SCALE_PROFILE names. A sample counts for
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity/figures.py
@@ -1,25 +1,14 @@
-"""The load of each role at the target size, computed from measured runs: the table of docs/CAPACITY.md.
+"""The load of each role at the target size, as figures computed from measured runs.
 
-`python -m benchmarks.capacity` prints it from the files in benchmarks/results/; with `--write` it goes into
-the page. A test compares the two. A figure whose run is not there is "not measured"; one that is not
-implemented yet is "missing".
+A figure whose run is absent is "not measured"; one whose mechanism is not implemented yet is "missing".
 """
 
 from __future__ import annotations
 
-import re
 from dataclasses import dataclass
 from functools import partial
 
-import click
-
-from benchmarks.processes import ROOT
-from benchmarks.result_files import ResultFiles
-
-PAGE = ROOT / "docs" / "CAPACITY.md"
-TABLE_BEGIN = "<!-- worked out by python -m benchmarks.capacity -->"
-TABLE_END = "<!-- end -->"
-TABLE_HEAD = "| role | what | figure | budget | verdict | carried by | run |\n| --- |" + " --- |" * 6
+from benchmarks.capacity.result_files import ResultFiles
 
 # The users' plan for the next two years.
 NODES = 17_000
@@ -68,13 +57,6 @@
 NOT_IMPLEMENTED = "none yet"
 
 
-class PageMarkerError(ValueError):
-    """The page has no markers around a table."""
-
-    def __init__(self) -> None:
-        super().__init__(f"the page has no place for the table: {TABLE_BEGIN}")
-
-
 @dataclass(frozen=True, slots=True)
 class CapacityFigure:
     """One figure at the target size."""
@@ -256,34 +238,3 @@
         *propagation_figures(results),
         *model_figures(results),
     ]
-
-
-def render_table(results: ResultFiles) -> str:
-    """Return the page's table."""
-    return "\n".join([TABLE_HEAD, *(figure.line() for figure in all_figures(results))])
-
-
-def replace_table(page: str, table: str) -> str:
-    """Return the page with this table between its markers.
-
-    Raises:
-        PageMarkerError: It has no markers.
-    """
-    marked = re.compile(re.escape(TABLE_BEGIN) + r".*?" + re.escape(TABLE_END), re.DOTALL)
-    if not marked.search(page):
-        raise PageMarkerError
-    return marked.sub(lambda _: f"{TABLE_BEGIN}\n\n{table}\n\n{TABLE_END}", page)
-
-
-@click.command()
-@click.option("--write", is_flag=True, help="Put the table into docs/CAPACITY.md.")
-def main(*, write: bool) -> None:
-    """Print the load of each role at the target size."""
-    table = render_table(ResultFiles())
-    click.echo(table)
-    if write:
-        PAGE.write_text(replace_table(PAGE.read_text(), table))
-
-
-if __name__ == "__main__":
-    main()
--- /dev/null
+++ b/benchmarks/capacity/page.py
@@ -0,0 +1,38 @@
+"""The table of docs/CAPACITY.md, between its two markers."""
+
+from __future__ import annotations
+
+import re
+
+from benchmarks.capacity.figures import all_figures
+from benchmarks.capacity.result_files import ResultFiles
+from benchmarks.support.processes import ROOT
+
+PAGE = ROOT / "docs" / "CAPACITY.md"
+TABLE_BEGIN = "<!-- worked out by python -m benchmarks.capacity -->"
+TABLE_END = "<!-- end -->"
+TABLE_HEAD = "| role | what | figure | budget | verdict | carried by | run |\n| --- |" + " --- |" * 6
+
+
+class PageMarkerError(ValueError):
+    """The page has no markers around a table."""
+
+    def __init__(self) -> None:
+        super().__init__(f"the page has no place for the table: {TABLE_BEGIN}")
+
+
+def render_table(results: ResultFiles) -> str:
+    """Return the page's table."""
+    return "\n".join([TABLE_HEAD, *(figure.line() for figure in all_figures(results))])
+
+
+def replace_table(page: str, table: str) -> str:
+    """Return the page with this table between its markers.
+
+    Raises:
+        PageMarkerError: It has no markers.
+    """
+    marked = re.compile(re.escape(TABLE_BEGIN) + r".*?" + re.escape(TABLE_END), re.DOTALL)
+    if not marked.search(page):
+        raise PageMarkerError
+    return marked.sub(lambda _: f"{TABLE_BEGIN}\n\n{table}\n\n{TABLE_END}", page)
--- a/benchmarks/result_files.py
+++ b/benchmarks/capacity/result_files.py
@@ -8,8 +8,8 @@
 
 import orjson
 
-from benchmarks.processes import ROOT
-from benchmarks.report import Slope
+from benchmarks.support.processes import ROOT
+from benchmarks.support.report import Slope
 
 RESULTS_FOLDER = ROOT / "benchmarks" / "results"
 
--- a/benchmarks/control.py
+++ b/benchmarks/control/__main__.py
@@ -18,16 +18,16 @@
 
 import click
 
-from benchmarks.control_measurement import (
+from benchmarks.control.measurement import (
     ChangeRate,
     FollowingNode,
     Plan,
     measure_change,
     run_rounds,
 )
-from benchmarks.control_report import ControlResults, rate_records, report
-from benchmarks.open_loop import MicrosecondEventLoop
-from benchmarks.options import make_plan, out_option, quick_option, seed_option, sizes_option
+from benchmarks.control.report import ControlResults, rate_records, report
+from benchmarks.support.open_loop import MicrosecondEventLoop
+from benchmarks.support.options import make_plan, out_option, quick_option, seed_option, sizes_option
 
 
 async def measure(plan: Plan, out: Path) -> None:
--- a/benchmarks/control_report.py
+++ b/benchmarks/control/report.py
@@ -8,10 +8,10 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.control_measurement import Cell, ChangeRate, FollowingNode, Plan
-from benchmarks.open_loop import histogram
-from benchmarks.processes import resident_mib
-from benchmarks.report import (
+from benchmarks.control.measurement import Cell, ChangeRate, FollowingNode, Plan
+from benchmarks.support.open_loop import histogram
+from benchmarks.support.processes import resident_mib
+from benchmarks.support.report import (
     MIN_SLOPE_SIZES,
     Slope,
     format_table,
--- a/benchmarks/data_path.py
+++ b/benchmarks/data_path/__main__.py
@@ -13,11 +13,11 @@
 
 import click
 
-from benchmarks.data_path_measurement import DIRECT_BACKENDS, DataPathBench, Plan
-from benchmarks.data_path_report import report
-from benchmarks.node_setup import node_setup, stop_garbage_collection
-from benchmarks.open_loop import MicrosecondEventLoop
-from benchmarks.options import (
+from benchmarks.data_path.measurement import DIRECT_BACKENDS, DataPathBench, Plan
+from benchmarks.data_path.report import report
+from benchmarks.support.node_setup import node_setup, stop_garbage_collection
+from benchmarks.support.open_loop import MicrosecondEventLoop
+from benchmarks.support.options import (
     make_plan,
     out_option,
     parse_numbers,
--- a/benchmarks/data_path_report.py
+++ b/benchmarks/data_path/report.py
@@ -7,10 +7,10 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.data_path_measurement import Cell, DataPathBench, RateLimit, SliceKind
-from benchmarks.open_loop import histogram
-from benchmarks.processes import resident_mib
-from benchmarks.report import (
+from benchmarks.data_path.measurement import Cell, DataPathBench, RateLimit, SliceKind
+from benchmarks.support.open_loop import histogram
+from benchmarks.support.processes import resident_mib
+from benchmarks.support.report import (
     MIN_SLOPE_SIZES,
     Slope,
     format_table,
--- a/benchmarks/fleet_model.py
+++ b/benchmarks/fleet_model.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass, replace
 from random import Random
 
-from benchmarks.fleet_metrics import RunMetrics, budget_with_tolerance
-from benchmarks.fleet_scenario import (
+from benchmarks.models.fleet_metrics import RunMetrics, budget_with_tolerance
+from benchmarks.models.fleet_scenario import (
     AVERAGE_WORK_MS,
     MEAN_WORK_MS,
     NODE_COUNTS,
@@ -22,7 +22,7 @@
     TRAFFIC_MIX,
     Scenario,
 )
-from benchmarks.fleet_simulation import simulate
+from benchmarks.models.fleet_simulation import simulate
 from loadbalancer.policy.slow_start import SlowStart
 
 TABLE_COLUMNS = (
--- a/benchmarks/hollow.py
+++ b/benchmarks/hollow/__main__.py
@@ -19,13 +19,13 @@
 
 import click
 
-from benchmarks.change_deliveries import MILLISECONDS_PER_S
-from benchmarks.hollow_report import event_record, format_report, regression_slopes, steady_record
-from benchmarks.hollow_run import CHANGES_PER_DAY, DAY_S, HollowRun, Phase, Plan
-from benchmarks.options import make_plan
-from benchmarks.report import write_results
-from benchmarks.servers_under_test import ServerKind
-from benchmarks.service_lists import LARGEST_SERVICE, SERVERS, SERVICES
+from benchmarks.hollow.change_deliveries import MILLISECONDS_PER_S
+from benchmarks.hollow.report import event_record, format_report, regression_slopes, steady_record
+from benchmarks.hollow.run import CHANGES_PER_DAY, DAY_S, HollowRun, Phase, Plan
+from benchmarks.hollow.servers_under_test import ServerKind
+from benchmarks.hollow.service_lists import LARGEST_SERVICE, SERVERS, SERVICES
+from benchmarks.support.options import make_plan
+from benchmarks.support.report import write_results
 
 DEFAULT_SIZES = "250,500,1000,2000,4000"
 QUICK_OPTIONS: dict[str, Any] = {"calm_s": 6.0, "rate_s": 4.0, "bursts": 1, "restarts": 1}
--- a/benchmarks/change_deliveries.py
+++ b/benchmarks/hollow/change_deliveries.py
@@ -7,7 +7,7 @@
 
 import numpy as np
 
-from benchmarks.hollow_messages import ChangeDelivery
+from benchmarks.hollow.messages import ChangeDelivery
 
 MILLISECONDS_PER_S = 1000.0
 
--- a/benchmarks/hollow_messages.py
+++ b/benchmarks/hollow/messages.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from benchmarks.membership import EndpointListMessage
+from benchmarks.support.membership import EndpointListMessage
 
 
 class WatchedList(msgspec.Struct):
--- a/benchmarks/hollow_nodes.py
+++ b/benchmarks/hollow/nodes.py
@@ -1,6 +1,6 @@
 """Hollow nodes: the real watches of many nodes in one process, without the data path.
 
-`python -m benchmarks.hollow_nodes` takes the messages of `benchmarks.hollow_messages` on standard input:
+`python -m benchmarks.hollow.nodes` takes the messages of `benchmarks.hollow.messages` on standard input:
 `StartNodes` first, then changes to expect and requests for counters.
 """
 
@@ -17,8 +17,7 @@
 
 import msgspec
 
-from benchmarks.child_streams import open_standard_input, read_message, write_message
-from benchmarks.hollow_messages import (
+from benchmarks.hollow.messages import (
     NODES_REQUESTS,
     Acknowledgement,
     ChangeDelivery,
@@ -27,7 +26,8 @@
     NodesStarted,
     StartNodes,
 )
-from benchmarks.service_lists import CHANGE_EPOCH_MS
+from benchmarks.hollow.service_lists import CHANGE_EPOCH_MS
+from benchmarks.support.child_streams import open_standard_input, read_message, write_message
 from loadbalancer.discovery import watch_client
 from loadbalancer.discovery.endpoint_list import EndpointList, parse_endpoint_list
 from loadbalancer.discovery.watch_client import WatchClient, WatchOptions
--- a/benchmarks/plain_server.py
+++ b/benchmarks/hollow/plain_server.py
@@ -1,8 +1,9 @@
 """A plain list server of many lists: the baseline that the discovery server is compared with.
 
-It listens at an address for each list and encodes each response for the one watch that gets it. `python -m
-benchmarks.plain_server FILE` reads its lists from a JSON file of `PlainList`, writes `PlainServerReady`,
-takes changed entries by list, as lines of JSON, on standard input and answers each with `ChangeWritten`.
+The server listens at an address for each list and encodes each response for the one watch that gets it.
+`python -m benchmarks.hollow.plain_server FILE` reads its lists from a JSON file of `PlainList` and writes
+`PlainServerReady`. Standard input takes changed entries by list, a line of JSON each; a `ChangeWritten`
+confirms each line.
 """
 
 from __future__ import annotations
@@ -16,9 +17,9 @@
 
 import msgspec
 
-from benchmarks.child_streams import open_standard_input, read_message, write_message
-from benchmarks.list_server import ListServer
-from benchmarks.membership import EndpointEntry, Membership
+from benchmarks.support.child_streams import open_standard_input, read_message, write_message
+from benchmarks.support.list_server import ListServer
+from benchmarks.support.membership import EndpointEntry, Membership
 
 CHANGES = msgspec.json.Decoder(dict[int, list[EndpointEntry]])  # changed entries by the number of their list
 
--- a/benchmarks/hollow_run.py
+++ b/benchmarks/hollow/run.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from benchmarks.change_deliveries import ChangeDeliveries
-from benchmarks.hollow_messages import (
+from benchmarks.hollow.change_deliveries import ChangeDeliveries
+from benchmarks.hollow.messages import (
     Acknowledgement,
     CountersRequest,
     ExpectChange,
@@ -18,10 +18,10 @@
     StartNodes,
     WatchedList,
 )
-from benchmarks.membership import EndpointListMessage
-from benchmarks.processes import ChildProcess, ProcessUsage
-from benchmarks.servers_under_test import ServerKind, ServerUnderTest, server_under_test
-from benchmarks.service_lists import ListChanges, ServiceLists, service_sizes
+from benchmarks.hollow.servers_under_test import ServerKind, ServerUnderTest, server_under_test
+from benchmarks.hollow.service_lists import ListChanges, ServiceLists, service_sizes
+from benchmarks.support.membership import EndpointListMessage
+from benchmarks.support.processes import ChildProcess, ProcessUsage
 
 DAY_S = 86_400.0
 CHANGES_PER_DAY = 7_200
@@ -99,7 +99,7 @@
         await self.server.start(self.services)
         before = {role: process.usage() for role, process in self.server.roles.items()}
         for index in range(self.plan.processes):
-            process = await ChildProcess.start("benchmarks.hollow_nodes")
+            process = await ChildProcess.start("benchmarks.hollow.nodes")
             self.node_processes.append(process)
             await process.send(self._start_message(index))
         for process in self.node_processes:
--- a/benchmarks/servers_under_test.py
+++ b/benchmarks/hollow/servers_under_test.py
@@ -13,10 +13,10 @@
 
 import msgspec
 
-from benchmarks.free_ports import free_ports
-from benchmarks.plain_server import ChangeWritten, PlainList, PlainServerReady
-from benchmarks.processes import ChildProcess
-from benchmarks.service_lists import ListChanges, ServiceLists
+from benchmarks.hollow.plain_server import ChangeWritten, PlainList, PlainServerReady
+from benchmarks.hollow.service_lists import ListChanges, ServiceLists
+from benchmarks.support.free_ports import free_ports
+from benchmarks.support.processes import ChildProcess
 
 READY_TIMEOUT_S = 60.0  # for a list to be served after a start
 READY_POLL_S = 0.02
@@ -115,7 +115,7 @@
         ]
         self._revision += RESTART_REVISION_INCREMENT
         self._lists_file.write_bytes(msgspec.json.encode(lists))
-        process = await ChildProcess.start("benchmarks.plain_server", str(self._lists_file))
+        process = await ChildProcess.start("benchmarks.hollow.plain_server", str(self._lists_file))
         await process.receive(PlainServerReady)
         self.roles[PLAIN_ROLE] = process
         return time.monotonic()
--- a/benchmarks/service_lists.py
+++ b/benchmarks/hollow/service_lists.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from random import Random
 
-from benchmarks.membership import READY, REMOVED, EndpointEntry
+from benchmarks.support.membership import READY, REMOVED, EndpointEntry
 
 SERVICES = 1300
 SERVERS = 17_000
--- a/benchmarks/longest_turn.py
+++ b/benchmarks/longest_turn/__main__.py
@@ -15,8 +15,14 @@
 import time
 from dataclasses import dataclass
 
-from benchmarks.open_loop import Address
-from benchmarks.worst_inputs import BackendThread, WorstInput, endpoint_entries, flood_inputs, list_inputs
+from benchmarks.longest_turn.worst_inputs import (
+    BackendThread,
+    WorstInput,
+    endpoint_entries,
+    flood_inputs,
+    list_inputs,
+)
+from benchmarks.support.open_loop import Address
 from loadbalancer.proxy.config import Config, parse_config
 from loadbalancer.proxy.proxy import Proxy
 
--- a/benchmarks/worst_inputs.py
+++ b/benchmarks/longest_turn/worst_inputs.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from benchmarks.open_loop import Address
+from benchmarks.support.open_loop import Address
 from loadbalancer.discovery.watch_client import MAX_ENDPOINT_LIST_BYTES
 from loadbalancer.http.limits import MAX_BODY_BYTES
 
--- a/benchmarks/model.py
+++ b/benchmarks/model.py
@@ -15,8 +15,8 @@
 
 import click
 
-from benchmarks.chain_records import chain_records, chain_slopes
-from benchmarks.fleet_records import (
+from benchmarks.models.chain_records import chain_records, chain_slopes
+from benchmarks.models.fleet_records import (
     IDLE_TIMEOUTS_S,
     LOAD,
     MAX_NODES_FOR_LONG_TIMEOUT,
@@ -24,8 +24,8 @@
     fleet_record,
     fleet_slopes,
 )
-from benchmarks.options import parse_integers
-from benchmarks.report import format_table, write_results
+from benchmarks.support.options import parse_integers
+from benchmarks.support.report import format_table, write_results
 
 RESULTS_FILE = Path(__file__).resolve().parent / "results" / "model.json"
 DEFAULT_SIZES = "13,100,200,300,1000"
--- a/benchmarks/chain_model.py
+++ b/benchmarks/models/chain.py
@@ -10,16 +10,16 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from benchmarks.fleet_entities import (
+from benchmarks.models.fleet_entities import (
     AttemptEnd,
     FinalOutcome,
     SimulatedAttempt,
     SimulatedBackend,
     SimulatedClient,
 )
-from benchmarks.fleet_metrics import fraction_served_in_time
-from benchmarks.fleet_scenario import CLASSES, TRAFFIC_MIX, Scenario
-from benchmarks.fleet_simulation import MIN_WORK_MS, FleetSimulation
+from benchmarks.models.fleet_metrics import fraction_served_in_time
+from benchmarks.models.fleet_scenario import CLASSES, TRAFFIC_MIX, Scenario
+from benchmarks.models.fleet_simulation import MIN_WORK_MS, FleetSimulation
 from loadbalancer.events import AttemptResult, LoadReport
 
 MEAN_OWN_WORK_MS = 30.0  # of a request at a tier, on a standard core
--- a/benchmarks/chain_records.py
+++ b/benchmarks/models/chain_records.py
@@ -7,8 +7,8 @@
 from enum import StrEnum
 from typing import Any
 
-from benchmarks.chain_model import ChainMetrics, ChainScenario, Fault, simulate_chain
-from benchmarks.report import Slope, linear_regression
+from benchmarks.models.chain import ChainMetrics, ChainScenario, Fault, simulate_chain
+from benchmarks.support.report import Slope, linear_regression
 from loadbalancer.events import AttemptResult
 
 FAULT_FRACTION = 0.1
--- a/benchmarks/connection_pool_model.py
+++ b/benchmarks/models/connection_pool.py
@@ -11,11 +11,11 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from benchmarks.event_queue import EventQueue
-from benchmarks.fleet_entities import AttemptEnd, SimulatedAttempt
-from benchmarks.fleet_metrics import LAST_REQUESTS_MS, fraction_served_in_time
-from benchmarks.fleet_scenario import Scenario
-from benchmarks.fleet_simulation import FleetSimulation
+from benchmarks.models.event_queue import EventQueue
+from benchmarks.models.fleet_entities import AttemptEnd, SimulatedAttempt
+from benchmarks.models.fleet_metrics import LAST_REQUESTS_MS, fraction_served_in_time
+from benchmarks.models.fleet_scenario import Scenario
+from benchmarks.models.fleet_simulation import FleetSimulation
 from loadbalancer.actions import Send
 from loadbalancer.events import AttemptResult
 from loadbalancer.proxy.connection_pool import IDLE_TIMEOUT_FRACTION, REUSE_DELAY_S
--- a/benchmarks/fleet_entities.py
+++ b/benchmarks/models/fleet_entities.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from benchmarks.fleet_scenario import (
+from benchmarks.models.fleet_scenario import (
     AVERAGE_WORK_MS,
     BACKEND_CORES,
     CONGESTION_SLOWDOWN,
--- a/benchmarks/fleet_metrics.py
+++ b/benchmarks/models/fleet_metrics.py
@@ -12,8 +12,8 @@
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
 
-from benchmarks.fleet_entities import FinalOutcome, SimulatedBackend, SimulatedClient
-from benchmarks.fleet_scenario import (
+from benchmarks.models.fleet_entities import FinalOutcome, SimulatedBackend, SimulatedClient
+from benchmarks.models.fleet_scenario import (
     CLASSES_BY_NAME,
     OVERLOAD_FACTOR,
     OVERLOAD_WINDOW_MS,
--- a/benchmarks/fleet_records.py
+++ b/benchmarks/models/fleet_records.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from benchmarks.connection_pool_model import PooledFleetSimulation
-from benchmarks.fleet_metrics import RunMetrics
-from benchmarks.fleet_scenario import Scenario
-from benchmarks.report import Slope, linear_regression
+from benchmarks.models.connection_pool import PooledFleetSimulation
+from benchmarks.models.fleet_metrics import RunMetrics
+from benchmarks.models.fleet_scenario import Scenario
+from benchmarks.support.report import Slope, linear_regression
 from loadbalancer.proxy.connection_pool import IDLE_TIMEOUT_FRACTION
 
 LOAD = 0.5  # fraction of what the backends can do
--- a/benchmarks/fleet_simulation.py
+++ b/benchmarks/models/fleet_simulation.py
@@ -8,8 +8,8 @@
 from random import Random
 from typing import TypeVarTuple
 
-from benchmarks.event_queue import EventQueue
-from benchmarks.fleet_entities import (
+from benchmarks.models.event_queue import EventQueue
+from benchmarks.models.fleet_entities import (
     AttemptEnd,
     BackendArrival,
     FinalOutcome,
@@ -18,8 +18,8 @@
     SimulatedClient,
     SimulatedRequest,
 )
-from benchmarks.fleet_metrics import RunMetrics, run_metrics
-from benchmarks.fleet_scenario import (
+from benchmarks.models.fleet_metrics import RunMetrics, run_metrics
+from benchmarks.models.fleet_scenario import (
     ACTIVE_PER_CORE,
     AVERAGE_WORK_MS,
     BACKEND_CORES,
--- a/benchmarks/backends.py
+++ b/benchmarks/support/backends.py
@@ -11,10 +11,10 @@
 import httptools
 import msgspec
 
-from benchmarks.child_streams import open_standard_input, read_message, write_message
-from benchmarks.list_server import ListServer
-from benchmarks.membership import Membership, make_entries
-from benchmarks.processes import ChildProcess
+from benchmarks.support.child_streams import open_standard_input, read_message, write_message
+from benchmarks.support.list_server import ListServer
+from benchmarks.support.membership import Membership, make_entries
+from benchmarks.support.processes import ChildProcess
 
 RESPONSE_BODY = b"x" * 128
 RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(RESPONSE_BODY), RESPONSE_BODY)
@@ -65,7 +65,7 @@
         Raises:
             TimeoutError: It does not serve after `ANSWER_TIMEOUT_S`; it has been ended then.
         """
-        process = await ChildProcess.start("benchmarks.backends")
+        process = await ChildProcess.start("benchmarks.support.backends")
         try:
             async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 return cls(process, await process.request(request, BackendsStarted))
--- a/benchmarks/node_setup.py
+++ b/benchmarks/support/node_setup.py
@@ -8,10 +8,10 @@
 from collections.abc import AsyncIterator, Sequence
 from pathlib import Path
 
-from benchmarks.backends import BackendsProcess, StartBackends
-from benchmarks.membership import Membership, make_entries
-from benchmarks.nodes import DEPLOYED_SOCKETS, PROXY_MODULE, ProxyProcess, proxy_configuration
-from benchmarks.open_loop import Address, OpenLoopClient
+from benchmarks.support.backends import BackendsProcess, StartBackends
+from benchmarks.support.membership import Membership, make_entries
+from benchmarks.support.nodes import DEPLOYED_SOCKETS, PROXY_MODULE, ProxyProcess, proxy_configuration
+from benchmarks.support.open_loop import Address, OpenLoopClient
 
 DEFAULT_LIST_SIZES = (13, 100, 400, 1000)
 ORDINARY_RATE = 170.0  # requests a second: a node's ordinary load, at which lists are compared
--- a/benchmarks/nodes.py
+++ b/benchmarks/support/nodes.py
@@ -11,9 +11,9 @@
 
 import msgspec
 
-from benchmarks.membership import EndpointListMessage
-from benchmarks.open_loop import Address
-from benchmarks.processes import ROOT, terminate
+from benchmarks.support.membership import EndpointListMessage
+from benchmarks.support.open_loop import Address
+from benchmarks.support.processes import ROOT, terminate
 
 START_TIMEOUT_S = 30.0  # for a process to be ready, on a busy machine
 READINESS_POLL_S = 0.05
--- a/benchmarks/options.py
+++ b/benchmarks/support/options.py
@@ -9,7 +9,7 @@
 import click
 import msgspec
 
-from benchmarks.nodes import DEPLOYED_SOCKETS
+from benchmarks.support.nodes import DEPLOYED_SOCKETS
 
 Command = Callable[..., Any]
 Plan = TypeVar("Plan")
--- a/benchmarks/processes.py
+++ b/benchmarks/support/processes.py
@@ -1,6 +1,7 @@
 """Child processes of a benchmark: starting them, exchanging messages with them, what they have used.
 
-A message is a line of JSON; `benchmarks.child_streams` is the other side. Resource usage is read from /proc.
+A message is a line of JSON; `benchmarks.support.child_streams` is the child's side of the exchange. Resource
+usage is read from /proc.
 """
 
 from __future__ import annotations
@@ -16,10 +17,10 @@
 
 import msgspec
 
-from benchmarks.child_streams import MAX_LINE_BYTES
+from benchmarks.support.child_streams import MAX_LINE_BYTES
 
 PROC = Path("/proc")
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 TERMINATION_TIMEOUT_S = 5.0  # for a process to end by itself before it is killed
 KIB_PER_MIB = 1024.0
 NANOSECONDS_PER_S = 1e9
--- a/benchmarks/report.py
+++ b/benchmarks/support/report.py
@@ -110,4 +110,4 @@
 
 def _command_name() -> str:
     spec = getattr(sys.modules.get("__main__"), "__spec__", None)
-    return Path(sys.argv[0]).name if spec is None else str(spec.name)
+    return Path(sys.argv[0]).name if spec is None else str(spec.name).removesuffix(".__main__")
--- a/tests/benchmarks/test_capacity.py
+++ b/tests/benchmarks/test_capacity.py
@@ -7,20 +7,21 @@
 import orjson
 import pytest
 
-from benchmarks import capacity
-from benchmarks.capacity import CapacityFigure, PageMarkerError
-from benchmarks.processes import ROOT
-from benchmarks.result_files import RESULTS_FOLDER, ResultFiles
+from benchmarks.capacity import page as capacity_page
+from benchmarks.capacity.figures import CapacityFigure, all_figures
+from benchmarks.capacity.page import PageMarkerError
+from benchmarks.capacity.result_files import RESULTS_FOLDER, ResultFiles
+from benchmarks.support.processes import ROOT
 
 
 def test_page_holds_the_table_that_the_result_files_give():
-    page = capacity.PAGE.read_text()
-    assert capacity.replace_table(page, capacity.render_table(ResultFiles())) == page
+    page = capacity_page.PAGE.read_text()
+    assert capacity_page.replace_table(page, capacity_page.render_table(ResultFiles())) == page
 
 
 def test_page_names_runs_and_files_that_are_there():
-    page = capacity.PAGE.read_text()
-    runs = {figure.run for figure in capacity.all_figures(ResultFiles()) if figure.value is not None}
+    page = capacity_page.PAGE.read_text()
+    runs = {figure.run for figure in all_figures(ResultFiles()) if figure.value is not None}
     assert runs <= {path.stem for path in RESULTS_FOLDER.glob("*.json")}
     places = ("loadbalancer", "benchmarks", "tests")
     files = [path.as_posix() for place in places for path in (ROOT / place).rglob("*.py")]
@@ -53,4 +54,4 @@
 
 def test_page_without_markers_for_the_table_is_an_error():
     with pytest.raises(PageMarkerError, match="no place"):
-        capacity.replace_table("# Capacity", "| table |")
+        capacity_page.replace_table("# Capacity", "| table |")
--- a/tests/benchmarks/test_chain_model.py
+++ b/tests/benchmarks/test_chain_model.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from benchmarks import chain_model
-from benchmarks.chain_model import NO_FAULT, ChainScenario, Fault, simulate_chain
-from benchmarks.chain_records import chain_slopes
+from benchmarks.models import chain as chain_model
+from benchmarks.models.chain import NO_FAULT, ChainScenario, Fault, simulate_chain
+from benchmarks.models.chain_records import chain_slopes
 from loadbalancer.events import AttemptResult
 
 
--- a/tests/benchmarks/test_change_deliveries.py
+++ b/tests/benchmarks/test_change_deliveries.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from benchmarks.change_deliveries import ChangeDeliveries
-from benchmarks.hollow_messages import ChangeDelivery
+from benchmarks.hollow.change_deliveries import ChangeDeliveries
+from benchmarks.hollow.messages import ChangeDelivery
 
 
 def test_last_delivery_is_the_largest_time_of_a_change_that_reached_all():
--- a/tests/benchmarks/test_commands.py
+++ b/tests/benchmarks/test_commands.py
@@ -9,8 +9,8 @@
 import pytest
 from click.testing import CliRunner
 
-from benchmarks import hollow
-from benchmarks.servers_under_test import ServerKind
+from benchmarks.hollow import __main__ as hollow
+from benchmarks.hollow.servers_under_test import ServerKind
 
 COMMANDS = [
     ["data_path", "--servers", "13", "--rates", "50"],
--- a/tests/benchmarks/test_connection_pool_model.py
+++ b/tests/benchmarks/test_connection_pool_model.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from benchmarks.connection_pool_model import (
+from benchmarks.models.connection_pool import (
     RESULTS_WITH_RESPONSE,
     ModelledConnectionPool,
     PooledFleetSimulation,
 )
-from benchmarks.event_queue import EventQueue
-from benchmarks.fleet_records import fleet_record
-from benchmarks.fleet_scenario import Scenario
+from benchmarks.models.event_queue import EventQueue
+from benchmarks.models.fleet_records import fleet_record
+from benchmarks.models.fleet_scenario import Scenario
 from loadbalancer.proxy.connection_pool import IDLE_TIMEOUT_FRACTION
 
 IDLE_TIMEOUT_S = 4.0  # after which the backends here close an idle connection; nodes do at half of it
--- a/tests/benchmarks/test_data_path.py
+++ b/tests/benchmarks/test_data_path.py
@@ -7,9 +7,10 @@
 
 import pytest
 
-from benchmarks import data_path_measurement, open_loop
-from benchmarks.data_path_measurement import Cell, DataPathBench, Plan, ProxiedSlice, SliceKind
-from benchmarks.data_path_report import latency_records
+from benchmarks.data_path import measurement as data_path_measurement
+from benchmarks.data_path.measurement import Cell, DataPathBench, Plan, ProxiedSlice, SliceKind
+from benchmarks.data_path.report import latency_records
+from benchmarks.support import open_loop
 
 
 def test_added_latency_is_the_proxied_less_the_direct_one_at_each_percentile():
--- a/tests/benchmarks/test_hollow_nodes.py
+++ b/tests/benchmarks/test_hollow_nodes.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from benchmarks import hollow_nodes
-from benchmarks.hollow_messages import ExpectChange, StartNodes, WatchedList
-from benchmarks.hollow_nodes import HollowNodes, MeteredConnection
-from benchmarks.membership import EndpointListMessage
-from benchmarks.plain_server import PlainList, serve
-from benchmarks.service_lists import ServiceLists
+from benchmarks.hollow import nodes as hollow_nodes
+from benchmarks.hollow.messages import ExpectChange, StartNodes, WatchedList
+from benchmarks.hollow.nodes import HollowNodes, MeteredConnection
+from benchmarks.hollow.plain_server import PlainList, serve
+from benchmarks.hollow.service_lists import ServiceLists
+from benchmarks.support.membership import EndpointListMessage
 from tests.support.loopback import until
 
 WATCHES = [0, 0, 0, 0, 0, 1, 1, 1]  # the list's number for each node
--- a/tests/benchmarks/test_hollow_run.py
+++ b/tests/benchmarks/test_hollow_run.py
@@ -9,11 +9,12 @@
 
 import pytest
 
-from benchmarks import hollow, hollow_run
-from benchmarks.hollow_messages import Acknowledgement, ChangeDelivery, ExpectChange, NodeCounters
-from benchmarks.hollow_run import HollowRun, Plan
-from benchmarks.processes import ProcessUsage
-from benchmarks.servers_under_test import ServerKind
+from benchmarks.hollow import __main__ as hollow
+from benchmarks.hollow import run as hollow_run
+from benchmarks.hollow.messages import Acknowledgement, ChangeDelivery, ExpectChange, NodeCounters
+from benchmarks.hollow.run import HollowRun, Plan
+from benchmarks.hollow.servers_under_test import ServerKind
+from benchmarks.support.processes import ProcessUsage
 
 
 @pytest.mark.parametrize(
--- a/tests/benchmarks/test_list_server.py
+++ b/tests/benchmarks/test_list_server.py
@@ -7,8 +7,8 @@
 
 import orjson
 
-from benchmarks.list_server import UNUSED_ADDRESS, ListServer
-from benchmarks.membership import Churn, Membership, make_entries
+from benchmarks.support.list_server import UNUSED_ADDRESS, ListServer
+from benchmarks.support.membership import Churn, Membership, make_entries
 from loadbalancer.discovery.watch_client import WatchClient, WatchOptions
 from loadbalancer.events import EndpointState, UpdateKind
 from loadbalancer.http.addresses import parse_address
--- a/tests/benchmarks/test_open_loop.py
+++ b/tests/benchmarks/test_open_loop.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from benchmarks import open_loop
+from benchmarks.support import open_loop
 from tests.support.loopback import StalledBackend, until
 
 
--- a/tests/benchmarks/test_processes.py
+++ b/tests/benchmarks/test_processes.py
@@ -9,8 +9,8 @@
 import pytest
 
 from benchmarks import start
-from benchmarks.backends import BackendsStarted
-from benchmarks.processes import ROOT, ChildProcess, ChildProcessEndedError, ProcessUsage
+from benchmarks.support.backends import BackendsStarted
+from benchmarks.support.processes import ROOT, ChildProcess, ChildProcessEndedError, ProcessUsage
 
 
 def test_usage_of_a_running_process_is_read():
@@ -22,7 +22,7 @@
 
 def test_process_that_ends_before_it_answers_is_an_error():
     async def case():
-        process = await ChildProcess.start("benchmarks.backends")
+        process = await ChildProcess.start("benchmarks.support.backends")
         await process.kill()
         with pytest.raises(ChildProcessEndedError) as error:
             await process.receive(BackendsStarted)
--- a/tests/benchmarks/test_profiled_proxy.py
+++ b/tests/benchmarks/test_profiled_proxy.py
@@ -8,8 +8,8 @@
 
 import orjson
 
-from benchmarks import profiled_proxy
-from benchmarks.processes import ROOT
+from benchmarks.call_profile import profiled_proxy
+from benchmarks.support.processes import ROOT
 from tests.support.builders import PolicyHarness
 
 
--- a/tests/benchmarks/test_report.py
+++ b/tests/benchmarks/test_report.py
@@ -7,7 +7,7 @@
 import orjson
 import pytest
 
-from benchmarks.report import InsufficientSizesError, format_table, linear_regression, write_results
+from benchmarks.support.report import InsufficientSizesError, format_table, linear_regression, write_results
 
 
 def test_fitted_line_has_its_standard_error():
--- a/tests/benchmarks/test_service_lists.py
+++ b/tests/benchmarks/test_service_lists.py
@@ -4,10 +4,9 @@
 
 import pytest
 
-from benchmarks.free_ports import first_outgoing_port, free_ports
-from benchmarks.hollow import ListLayout, with_layout
-from benchmarks.hollow_run import Plan
-from benchmarks.service_lists import (
+from benchmarks.hollow.__main__ import ListLayout, with_layout
+from benchmarks.hollow.run import Plan
+from benchmarks.hollow.service_lists import (
     CHANGE_EPOCH_MS,
     LARGEST_SERVICE,
     SERVERS,
@@ -16,6 +15,7 @@
     ServiceSizeError,
     service_sizes,
 )
+from benchmarks.support.free_ports import first_outgoing_port, free_ports
 
 
 def test_layouts_have_their_numbers_of_lists_and_servers():
--- a/tests/benchmarks/test_slow_start.py
+++ b/tests/benchmarks/test_slow_start.py
@@ -1,11 +1,11 @@
 """Backends in slow start keep within what the settings allow them, over all nodes together.
 
-Seeded runs of the simulated fleet (`benchmarks/fleet_simulation.py`). In each window of the length after
-which an overloaded backend in slow start falls, it may get N + 2 x root of N + 2 requests, N being factor x
-present capacity x window. The nodes do not know how much work a request is. So the number of requests is held
-to strictly; their work goes over by chance alone: for the smallest backend just started (N = 5.6), a Poisson
-stream of half of N requests of this mix does so in 6 windows of a thousand, and never by number
-(`python -m benchmarks.fleet_model --chance`).
+Seeded runs of the simulated fleet (`benchmarks/models/fleet_simulation.py`). A window has the length after
+which an overloaded backend in slow start fails. In each window a backend may get N + 2 x root of N + 2
+requests, where N = factor x current capacity x window. The nodes do not know the work of a request, so the
+number of requests is held strictly, and their work exceeds the budget by chance alone: for the smallest
+backend just started (N = 5.6), a Poisson stream of half of N requests of this mix does so in 6 windows of a
+thousand, and never by number (`python -m benchmarks.fleet_model --chance`).
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 
 import pytest
 
-from benchmarks.fleet_metrics import RunMetrics
-from benchmarks.fleet_scenario import NODE_COUNTS, SCENARIOS, Scenario
-from benchmarks.fleet_simulation import simulate
+from benchmarks.models.fleet_metrics import RunMetrics
+from benchmarks.models.fleet_scenario import NODE_COUNTS, SCENARIOS, Scenario
+from benchmarks.models.fleet_simulation import simulate
 from loadbalancer.policy.slow_start import SlowStart
 
 OVER_BY_CHANCE_PER_MILLE = 6.0  # windows of a thousand that go over by work
--- a/tests/support/program.py
+++ b/tests/support/program.py
@@ -13,7 +13,7 @@
 
 import orjson
 
-from benchmarks.free_ports import free_ports
+from benchmarks.support.free_ports import free_ports
 from tests.support.loopback import HttpClient, Message
 
 ROOT = Path(__file__).parents[2]
