--- a/benchmarks/call_profile/__main__.py
+++ b/benchmarks/call_profile/__main__.py
@@ -37,7 +37,8 @@
     sizes_option,
 )
 from benchmarks.support.processes import cpu_seconds
-from benchmarks.support.report import MIN_SLOPE_SIZES, Slope, format_table, linear_regression, write_results
+from benchmarks.support.regression import MIN_SLOPE_SIZES, Slope, linear_regression
+from benchmarks.support.report import format_table, write_results
 
 LISTED_FUNCTIONS = 12  # of each size, those with the most samples
 PROFILE_POLL_S = 0.01
--- a/benchmarks/capacity/result_files.py
+++ b/benchmarks/capacity/result_files.py
@@ -9,7 +9,7 @@
 import orjson
 
 from benchmarks.support.processes import ROOT
-from benchmarks.support.report import Slope
+from benchmarks.support.regression import Slope
 
 RESULTS_FOLDER = ROOT / "benchmarks" / "results"
 
--- a/benchmarks/control/measurement.py
+++ b/benchmarks/control/measurement.py
@@ -19,7 +19,7 @@
 from benchmarks.support.nodes import ProxyProcess, proxy_configuration
 from benchmarks.support.open_loop import MICROSECONDS_PER_S
 from benchmarks.support.processes import cpu_seconds, resident_mib, run_queue_seconds
-from benchmarks.support.report import standard_error
+from benchmarks.support.regression import standard_error
 
 SETTLE_S = 0.3  # after a change is in force, in which what follows from it is still counted
 IN_FORCE_TIMEOUT_S = 30.0  # within which a change has to be in force for the run to go on
--- a/benchmarks/control/report.py
+++ b/benchmarks/control/report.py
@@ -11,14 +11,8 @@
 from benchmarks.control.measurement import Cell, ChangeRate, FollowingNode, Plan
 from benchmarks.support.open_loop import histogram
 from benchmarks.support.processes import resident_mib
-from benchmarks.support.report import (
-    MIN_SLOPE_SIZES,
-    Slope,
-    format_table,
-    linear_regression,
-    standard_error,
-    write_results,
-)
+from benchmarks.support.regression import MIN_SLOPE_SIZES, Slope, linear_regression, standard_error
+from benchmarks.support.report import format_table, write_results
 
 BUDGET_CORES = 0.027
 BUDGET_MIB = 128.0
--- a/benchmarks/data_path/report.py
+++ b/benchmarks/data_path/report.py
@@ -10,14 +10,8 @@
 from benchmarks.data_path.measurement import Cell, DataPathBench, RateLimit, SliceKind
 from benchmarks.support.open_loop import histogram
 from benchmarks.support.processes import resident_mib
-from benchmarks.support.report import (
-    MIN_SLOPE_SIZES,
-    Slope,
-    format_table,
-    linear_regression,
-    standard_error,
-    write_results,
-)
+from benchmarks.support.regression import MIN_SLOPE_SIZES, Slope, linear_regression, standard_error
+from benchmarks.support.report import format_table, write_results
 
 PERCENTILES = (50.0, 99.0, 99.9)
 
--- a/benchmarks/fleet_model.py
+++ b/benchmarks/fleet_model.py
@@ -20,7 +20,6 @@
     NODE_COUNTS,
     SCENARIOS,
     TRAFFIC_MIX,
-    Scenario,
 )
 from benchmarks.models.fleet_simulation import simulate
 from loadbalancer.policy.slow_start import SlowStart
@@ -97,15 +96,14 @@
 
 def print_scenario_table(options: argparse.Namespace) -> None:
     """Simulate the scenarios of the command line and print their table."""
-    overrides = {
-        key: value
-        for key, value in (("load", options.load), ("slow_start_fraction", options.cold))
-        if value is not None
-    }
     print(TABLE_HEAD)
     for name in options.only.split(","):
         for nodes in options.nodes:
-            scenario = replace(Scenario(nodes, options.servers), **(SCENARIOS[name] | overrides))
+            scenario = replace(SCENARIOS[name], nodes=nodes, servers=options.servers)
+            if options.load is not None:
+                scenario = replace(scenario, load=options.load)
+            if options.cold is not None:
+                scenario = replace(scenario, slow_start_fraction=options.cold)
             runs = [simulate(scenario, seed) for seed in range(options.seeds)]
             print(table_line(name, nodes, runs), flush=True)
 
--- a/benchmarks/hollow/report.py
+++ b/benchmarks/hollow/report.py
@@ -8,7 +8,8 @@
 
 from benchmarks.hollow.change_deliveries import MILLISECONDS_PER_S, ChangeDeliveries
 from benchmarks.hollow.run import Phase
-from benchmarks.support.report import MIN_SLOPE_SIZES, Slope, format_table, linear_regression
+from benchmarks.support.regression import MIN_SLOPE_SIZES, Slope, linear_regression
+from benchmarks.support.report import format_table
 
 COLUMN_GROUPS = ("", "calm_", "rate_", "burst_", "return_", "restart_", "log_")  # by prefix; "": all others
 FITTED_SUFFIXES = ("_ms", "_mib", "_per_s", "_per_change", "_per_told", "_received", "_news_bytes")
--- a/benchmarks/model.py
+++ b/benchmarks/model.py
@@ -1,9 +1,9 @@
-"""The policy in model time, by size of the service and depth of the chain: `python -m benchmarks.model`.
+"""Simulate the policy by size of the service and depth of the chain: `python -m benchmarks.model`.
 
-First as many nodes as backends, of one service on one list, at half of what the backends can do: connections
-by the pool's rules, spread of load, a tenth of the backends restarted. Then tiers that call one another
-while one of them rejects or fails a tenth. Prints tables, writes `benchmarks/results/model.json`; some 4
-minutes of a core.
+The first simulations are of one service with as many nodes as backends, on one list, at half the capacity:
+connections by the pool's rules, spread of load, and the restart of a tenth of the backends. The second are
+of chains of tiers in which one tier rejects or fails a tenth. The command prints tables and writes
+`benchmarks/results/model.json`; it takes about 4 minutes of a core.
 """
 
 from __future__ import annotations
@@ -20,33 +20,35 @@
     IDLE_TIMEOUTS_S,
     LOAD,
     MAX_NODES_FOR_LONG_TIMEOUT,
-    Record,
+    FleetRecord,
     fleet_record,
     fleet_slopes,
 )
 from benchmarks.support.options import parse_integers
+from benchmarks.support.records import Row
 from benchmarks.support.report import format_table, write_results
 
 RESULTS_FILE = Path(__file__).resolve().parent / "results" / "model.json"
 DEFAULT_SIZES = "13,100,200,300,1000"
-MIN_SIMULATED_NODES = 150  # a size has as many runs as make up so many nodes, one at least
+MIN_SIMULATED_NODES = 150  # over all runs of one size
 DEPTHS = (1, 3, 6, 12)
 SECOND_TABLE_BEGIN = "cv"  # the first column of the fleets' second table
 
 
-def fleet_records(sizes: Iterable[int], seed: int) -> list[Record]:
-    """Return a record for each number of nodes, of several runs where there are few nodes."""
+def fleet_records(sizes: Iterable[int], seed: int) -> list[FleetRecord]:
+    """Simulate each number of nodes, in several runs if there are few nodes, and return the records."""
     records = []
     for nodes in sizes:
         timeouts_s = IDLE_TIMEOUTS_S if nodes <= MAX_NODES_FOR_LONG_TIMEOUT else IDLE_TIMEOUTS_S[:1]
         runs = max(1, round(MIN_SIMULATED_NODES / nodes))
         record = fleet_record(nodes, seed, runs, timeouts_s)
-        click.echo(f"  {nodes} nodes: {record['calls']} calls, {record['ms/call']:.3f} ms each", err=True)
+        cost = f"{record.requests} requests, {record.cpu_ms_per_request:.3f} ms each"
+        click.echo(f"  {nodes} nodes: {cost}", err=True)
         records.append(record)
     return records
 
 
-def print_tables(fleets: Sequence[Record], chains: Sequence[Record]) -> None:
+def print_tables(fleets: Sequence[Row], chains: Sequence[Row]) -> None:
     """Print two tables of fleets and one of chains."""
     columns = list(fleets[0])
     split = columns.index(SECOND_TABLE_BEGIN)
@@ -73,13 +75,15 @@
     fleets = fleet_records(sizes, seed)
     fleets_s = time.process_time() - started_s
     chains = chain_records(DEPTHS, seed)
-    print_tables(fleets, chains)
+    fleet_rows = [record.row() for record in fleets]
+    chain_rows = [record.row() for record in chains]
+    print_tables(fleet_rows, chain_rows)
     slopes = fleet_slopes(fleets) | chain_slopes(chains)
     click.echo(format_table([{"slope": name, **asdict(slope)} for name, slope in slopes.items()]))
     total_s = time.process_time() - started_s
     about = {"seed": seed, "load": LOAD, "fleets_processor_s": fleets_s, "processor_s": total_s}
-    write_results(out, fleets, slopes, chains=chains, **about)
-    click.echo(f"{total_s:.0f} s of processor time, {fleets_s:.0f} of them for the first two tables")
+    write_results(out, fleet_rows, slopes, chains=chain_rows, **about)
+    click.echo(f"{total_s:.0f} s of processor time, {fleets_s:.0f} s of it for the first two tables")
 
 
 if __name__ == "__main__":
--- a/benchmarks/models/chain_records.py
+++ b/benchmarks/models/chain_records.py
@@ -1,22 +1,24 @@
-"""Records of simulated chains with a faulty tier, and slopes over the depth; names as in the result file."""
+"""Records of simulated chains with a faulty tier, and slopes over the depth."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
 from enum import StrEnum
-from typing import Any
 
-from benchmarks.models.chain import ChainMetrics, ChainScenario, Fault, simulate_chain
-from benchmarks.support.report import Slope, linear_regression
+import msgspec
+
+from benchmarks.models.chain import ChainMetrics, simulate_chain
+from benchmarks.models.chain_scenario import ChainScenario, Fault
+from benchmarks.support.records import Record, Row
+from benchmarks.support.regression import Slope, fit_columns
 from loadbalancer.events import AttemptResult
 
 FAULT_FRACTION = 0.1
 DEFAULT_MAX_ATTEMPTS = 4
 ALL_MAX_ATTEMPTS = (1, 2, 3, 4)
 RESULT_NAMES = {AttemptResult.REJECTED: "full", AttemptResult.ERROR: "error"}
-
-Record = dict[str, Any]
+SLOPE_FIGURES = ("sent", "there")
 
 
 class FaultyTier(StrEnum):
@@ -32,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChainCase:
-    """A kind of fault, and the attempts of each node for a request."""
+    """A kind of fault, and the limit on each node's attempts for a request."""
 
     tier: FaultyTier = FaultyTier.LAST
     result: AttemptResult = AttemptResult.ERROR
@@ -58,7 +60,7 @@
 
 
 def chain_cases() -> Iterator[ChainCase]:
-    """Return all cases: no fault, then each result by attempt and by client."""
+    """Yield all cases: no fault, then each result by attempt and by client."""
     yield ChainCase(fraction=0.0)
     for result in (AttemptResult.REJECTED, AttemptResult.ERROR):
         for per_client in (False, True):
@@ -68,12 +70,32 @@
             yield ChainCase(result=result, per_client=per_client, all_classes=True)
 
 
-def chain_records(depths: Sequence[int], seed: int, seconds: float = 13.0) -> list[Record]:
-    """Return a record for each case and depth.
+class ChainRecord(Record, frozen=True, kw_only=True):
+    """The figures of one case and depth; attempts are per client."""
+
+    fault: str = msgspec.field(name="tenth of")
+    faulty_tier: str = msgspec.field(name="tier")
+    max_attempts: int = msgspec.field(name="max attempts")
+    depth: int
+    clients: int = msgspec.field(name="calls")
+    attempts: float = msgspec.field(name="sent")
+    attempts_per_tier: float = msgspec.field(name="sent/tier")
+    attempts_at_fault: float = msgspec.field(name="there")  # to the faulty tier
+    attempts_at_top: float = msgspec.field(name="top")
+    served: float
+    rejected: float = msgspec.field(name="refused")
+    late: float
+    shed: float  # the largest fraction of its requests that one tier's nodes finished without an attempt
+    attempts_by_tier: list[float] = msgspec.field(name="by tier")
+
+    @property
+    def case(self) -> str:
+        """The case, which records of several depths share."""
+        return f"{self.fault}; {self.faulty_tier} tier; at most {self.max_attempts}"
+
 
-    For each client: `sent` are all attempts, `there` those to the faulty tier, `top` those to the top tier.
-    `shed` is the largest fraction of its requests that one tier's nodes answered without an attempt.
-    """
+def chain_records(depths: Sequence[int], seed: int, seconds: float = 13.0) -> list[ChainRecord]:
+    """Simulate each case at each depth, and return the records."""
     return [
         _chain_record(case, depth, case.run(depth, seed, seconds))
         for case in chain_cases()
@@ -81,36 +103,33 @@
     ]
 
 
-def _chain_record(case: ChainCase, depth: int, metrics: ChainMetrics) -> Record:
+def _chain_record(case: ChainCase, depth: int, metrics: ChainMetrics) -> ChainRecord:
     attempts = metrics.attempts_by_tier
-    return {
-        "tenth of": case.name,
-        "tier": case.tier.value,
-        "max attempts": case.max_attempts,
-        "depth": depth,
-        "calls": metrics.clients,
-        "sent": sum(attempts),
-        "sent/tier": sum(attempts) / depth,
-        "there": attempts[case.tier.number(depth)],
-        "top": attempts[0],
-        "served": metrics.served_fraction,
-        "refused": metrics.rejected_fraction,
-        "late": metrics.late_fraction,
-        "shed": max(metrics.shed_by_tier),
-        "by tier": attempts,
-    }
-
-
-def chain_slopes(records: Sequence[Record]) -> dict[str, Slope]:
-    """Return lines over the depth: attempts of all tiers, and to the faulty tier, for each client."""
-    by_case: dict[str, list[Record]] = {}
+    return ChainRecord(
+        fault=case.name,
+        faulty_tier=case.tier.value,
+        max_attempts=case.max_attempts,
+        depth=depth,
+        clients=metrics.clients,
+        attempts=sum(attempts),
+        attempts_per_tier=sum(attempts) / depth,
+        attempts_at_fault=attempts[case.tier.number(depth)],
+        attempts_at_top=attempts[0],
+        served=metrics.served_fraction,
+        rejected=metrics.rejected_fraction,
+        late=metrics.late_fraction,
+        shed=max(metrics.shed_by_tier),
+        attempts_by_tier=attempts,
+    )
+
+
+def chain_slopes(records: Sequence[ChainRecord]) -> dict[str, Slope]:
+    """Return lines over the depth: attempts of all tiers, and to the faulty tier, per client."""
+    rows_by_case: dict[str, list[Row]] = {}
     for record in records:
-        case = f"{record['tenth of']}; {record['tier']} tier; at most {record['max attempts']}"
-        by_case.setdefault(case, []).append(record)
+        rows_by_case.setdefault(record.case, []).append(record.row())
     return {
-        f"{figure} over depth: {case}": linear_regression(
-            [record["depth"] for record in case_records], [record[figure] for record in case_records]
-        )
-        for case, case_records in by_case.items()
-        for figure in ("sent", "there")
+        f"{figure} over depth: {case}": fit_columns(rows, "depth", figure)
+        for case, rows in rows_by_case.items()
+        for figure in SLOPE_FIGURES
     }
--- /dev/null
+++ b/benchmarks/models/chain_scenario.py
@@ -0,0 +1,61 @@
+"""What is simulated in a chain of tiers: its depth, the fault of one tier, and the scenario of each tier."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from benchmarks.models.fleet_entities import SimulatedClient
+from benchmarks.models.fleet_scenario import CLASSES, Scenario
+from loadbalancer.events import AttemptResult
+
+NODES_PER_TIER = 4
+BACKENDS_PER_TIER = 4
+LOAD = 0.3  # fraction of a tier's capacity, by clients alone
+UNCOUNTED_MS = 3000.0  # at the beginning
+
+
+@dataclass(frozen=True)
+class Fault:
+    """One tier ends a fraction of its attempts with a given result, whatever its load."""
+
+    tier: int = 0  # 0 is the top
+    result: AttemptResult = AttemptResult.ERROR
+    fraction: float = 0.0  # of attempts; of clients if `per_client`
+    per_client: bool = False  # every attempt for a client fails, or none
+
+    def affects(self, client: SimulatedClient, result: AttemptResult, draw: Callable[[], float]) -> bool:
+        """Return whether an attempt for a client ends with this result because of the fault."""
+        if self.result is not result or not self.fraction:
+            return False
+        return client.always_fails if self.per_client else draw() < self.fraction
+
+
+NO_FAULT = Fault()
+
+
+@dataclass(frozen=True)
+class ChainScenario:
+    """One simulated chain."""
+
+    depth: int  # tiers
+    fault: Fault
+    max_attempts: int  # of each node for a request
+    seconds: float = 13.0  # in which clients arrive; those of the first three are not counted
+    all_classes: bool = False  # whether requests are of all classes; else all are idempotent
+
+    def tier_scenario(self, number: int) -> Scenario:
+        """Return the scenario of one tier; its backends send no load reports."""
+        return Scenario(
+            NODES_PER_TIER,
+            BACKENDS_PER_TIER,
+            load=LOAD,
+            start_ms=UNCOUNTED_MS,
+            seconds=self.seconds,
+            without_slow_start=True,
+            error_fraction=0.0,
+            max_attempts=self.max_attempts,
+            load_report_fields=(),
+            classes=CLASSES if self.all_classes else CLASSES[:1],
+            tier=number,
+        )
--- a/benchmarks/models/event_queue.py
+++ b/benchmarks/models/event_queue.py
@@ -1,4 +1,4 @@
-"""The event queue of a discrete-event simulation: model time, and what happens when."""
+"""The event queue of a discrete-event simulation, in model time."""
 
 from __future__ import annotations
 
@@ -11,7 +11,10 @@
 
 
 class EventQueue:
-    """Model time in milliseconds and the events to come; those of one moment run as they were scheduled."""
+    """Model time in milliseconds, and the scheduled events.
+
+    Events of one moment run in the order in which they were scheduled.
+    """
 
     def __init__(self) -> None:
         self.now_ms = 0.0
@@ -19,12 +22,12 @@
         self._order = itertools.count()
 
     def schedule(self, delay_ms: float, action: Callable[[*Arguments], None], *arguments: *Arguments) -> None:
-        """Have the action called with these arguments after a delay."""
+        """Call the action with these arguments after a delay."""
         event = (self.now_ms + delay_ms, next(self._order), lambda: action(*arguments))
         heapq.heappush(self._events, event)
 
     def run_until(self, end_ms: float) -> None:
-        """Run all events that come before a time."""
+        """Run all events before `end_ms`."""
         while self._events and self._events[0][0] < end_ms:
             self.now_ms, _, run_event = heapq.heappop(self._events)
             run_event()
--- a/benchmarks/models/fleet_records.py
+++ b/benchmarks/models/fleet_records.py
@@ -1,4 +1,4 @@
-"""Records of simulated fleets by their size, and slopes over it; the names are those of the result file."""
+"""Records of simulated fleets by their size, and slopes over the size."""
 
 from __future__ import annotations
 
@@ -7,28 +7,83 @@
 import time
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, replace
-from typing import Any
 
-from benchmarks.models.connection_pool import PooledFleetSimulation
+import msgspec
+
 from benchmarks.models.fleet_metrics import RunMetrics
 from benchmarks.models.fleet_scenario import Scenario
-from benchmarks.support.report import Slope, linear_regression
+from benchmarks.models.pooled_fleet import PooledFleetSimulation
+from benchmarks.support.records import Record, Row
+from benchmarks.support.regression import Slope, fit_columns
 from loadbalancer.proxy.connection_pool import IDLE_TIMEOUT_FRACTION
 
-LOAD = 0.5  # fraction of what the backends can do
+LOAD = 0.5  # fraction of the backends' capacity
 IDLE_TIMEOUTS_S = (15.0, 30.0)  # after which a backend closes an idle connection
-SETTLING_FACTOR = 1.35  # times the nodes' idle timeout: until then more are opened than closed
+SETTLING_FACTOR = 1.35  # times the nodes' idle timeout: before that, more connections open than close
 MAX_NODES_FOR_LONG_TIMEOUT = 300  # up to which a run is long enough for the longer timeout
 SECONDS_AFTER_RESTART = 4.0
 RESTARTED_FRACTION = 0.1
 SLOPE_FIGURES = ("opened/call 15s", "held 15s", "opened/call 30s", "held 30s", "cv", "served", "ms/call")
 
-Record = dict[str, Any]
+
+class ConnectionFigures(Record, frozen=True, kw_only=True):
+    """Connections with one idle timeout; None: a timeout that was not simulated."""
+
+    opened_per_request: float | None = msgspec.field(name="opened/call")
+    opened_by_chance: float = msgspec.field(name="by chance")
+    mean_open: float | None = msgspec.field(name="held")
+    max_per_node: int | None = msgspec.field(name="most/node")
+    max_per_backend: int | None = msgspec.field(name="most/server")
+
+
+class ServiceFigures(Record, frozen=True, kw_only=True):
+    """The spread of the load over the backends, and the service, before the restart."""
+
+    variation: float | None = msgspec.field(name="cv")
+    chance_variation: float | None = msgspec.field(name="cv by chance")
+    max_over_mean: float = msgspec.field(name="worst/mean")
+    served: float | None
+
+
+class RestartFigures(Record, frozen=True, kw_only=True):
+    """The load of the restarted backends in slow start, and the service meanwhile."""
+
+    windows: int = msgspec.field(name="cold windows")
+    peak_fill: float = msgspec.field(name="fullest")
+    over_by_requests: int = msgspec.field(name="crowded")
+    served: float | None = msgspec.field(name="served then")
+    rejected: float | None = msgspec.field(name="refused then")
+
+
+@dataclass(frozen=True, slots=True)
+class FleetRecord:
+    """The figures of as many nodes as backends: means over the runs, and maxima."""
+
+    nodes: int
+    runs: int
+    requests: int
+    rate_per_s: float  # requests to a node
+    connections: dict[float, ConnectionFigures]  # by the backends' idle timeout, in seconds
+    service: ServiceFigures
+    restart: RestartFigures
+    cpu_ms_per_request: float
+
+    def row(self) -> dict[str, object]:
+        """Return the record under the names of the result file."""
+        row: dict[str, object] = {
+            "nodes": self.nodes,
+            "runs": self.runs,
+            "calls": self.requests,
+            "calls/s a node": self.rate_per_s,
+        }
+        for timeout_s, figures in self.connections.items():
+            row |= {f"{name} {timeout_s:.0f}s": figure for name, figure in figures.row().items()}
+        return row | self.service.row() | self.restart.row() | {"ms/call": self.cpu_ms_per_request}
 
 
 @dataclass(frozen=True, slots=True)
 class FleetRuns:
-    """Runs of as many nodes as backends, which differ in their seed."""
+    """Several runs of as many nodes as backends, each with its own seed."""
 
     fleets: list[PooledFleetSimulation]
     metrics: list[RunMetrics]
@@ -37,11 +92,11 @@
     @property
     def clients(self) -> int:
         """Clients of all runs."""
-        return sum(len(fleet.clients) for fleet in self.fleets)
+        return sum(len(fleet.clients.all) for fleet in self.fleets)
 
 
 def run_fleets(nodes: int, seed: int, runs: int, idle_timeouts_s: Sequence[float]) -> FleetRuns:
-    """Simulate as many nodes as backends, at half of what these can do, and then restart a tenth of them."""
+    """Simulate as many nodes as backends at half the capacity; then a tenth of the backends restarts."""
     start_s = SETTLING_FACTOR * IDLE_TIMEOUT_FRACTION * max(idle_timeouts_s)
     scenario = replace(
         Scenario(nodes, nodes, load=LOAD, slow_start_fraction=RESTARTED_FRACTION, restart=True),
@@ -56,12 +111,8 @@
 
 def fleet_record(
     nodes: int, seed: int, runs: int, idle_timeouts_s: Sequence[float] = IDLE_TIMEOUTS_S
-) -> Record:
-    """Return figures of as many nodes as backends: means over the runs, and maxima.
-
-    Names end in the time after which a backend closes an idle connection. `by chance` is the fraction of
-    requests that would open one if each node's requests to each backend came at random, one at a time and to
-    all alike.
+) -> FleetRecord:
+    """Simulate as many nodes as backends, and return their figures.
 
     Args:
         nodes: How many nodes, and how many backends.
@@ -70,54 +121,59 @@
         idle_timeouts_s: Those that are simulated; the others' figures are None.
     """
     fleet_runs = run_fleets(nodes, seed, runs, idle_timeouts_s)
-    fleets, metrics = fleet_runs.fleets, fleet_runs.metrics
+    fleets = fleet_runs.fleets
     rate_per_s = LOAD * 1000.0 * fleets[0].capacity / nodes
-    record: Record = {
-        "nodes": nodes,
-        "runs": runs,
-        "calls": fleet_runs.clients,
-        "calls/s a node": rate_per_s,
-    }
-    for timeout_s in IDLE_TIMEOUTS_S:
-        figures = _connection_figures(fleets, timeout_s, rate_per_s)
-        record |= {f"{name} {timeout_s:.0f}s": figure for name, figure in figures.items()}
-    record |= _service_figures(fleets)
-    record |= _restart_figures(metrics)
-    return record | {"ms/call": 1000.0 * fleet_runs.cpu_s / fleet_runs.clients}
-
-
-def _service_figures(fleets: Sequence[PooledFleetSimulation]) -> Record:
-    spreads = [fleet.load_spread() for fleet in fleets]
-    return {
-        "cv": _mean(spread.variation for spread in spreads),
-        "cv by chance": _mean(spread.chance_variation for spread in spreads),
-        "worst/mean": max(spread.max_over_mean for spread in spreads),
-        "served": _mean(fleet.served_before_slow_start() for fleet in fleets),
-    }
-
-
-def _restart_figures(metrics: Sequence[RunMetrics]) -> Record:
-    return {
-        "cold windows": sum(run.windows for run in metrics),
-        "fullest": max(run.peak_fill for run in metrics),
-        "crowded": sum(run.over_by_requests for run in metrics),
-        "served then": _mean(run.served_fraction for run in metrics),
-        "refused then": _mean(run.rejected_fraction for run in metrics),
-    }
+    return FleetRecord(
+        nodes=nodes,
+        runs=runs,
+        requests=fleet_runs.clients,
+        rate_per_s=rate_per_s,
+        connections={
+            timeout_s: _connection_figures(fleets, timeout_s, rate_per_s) for timeout_s in IDLE_TIMEOUTS_S
+        },
+        service=_service_figures(fleets),
+        restart=_restart_figures(fleet_runs.metrics),
+        cpu_ms_per_request=1000.0 * fleet_runs.cpu_s / fleet_runs.clients,
+    )
 
 
 def _connection_figures(
     fleets: Sequence[PooledFleetSimulation], timeout_s: float, rate_per_s: float
-) -> Record:
+) -> ConnectionFigures:
+    """Return the figures of one idle timeout.
+
+    `opened_by_chance` is the fraction of requests that would open a connection if each node's requests to
+    each backend arrived at random, one at a time and to all alike.
+    """
     usages = [fleet.usage[timeout_s] for fleet in fleets if timeout_s in fleet.usage]
     nodes = fleets[0].scenario.nodes
-    return {
-        "opened/call": _mean(usage.opened / usage.clients for usage in usages),
-        "by chance": math.exp(-rate_per_s / nodes * timeout_s * IDLE_TIMEOUT_FRACTION),
-        "held": _mean(_mean(usage.samples) for usage in usages),
-        "most/node": max((max(usage.by_node) for usage in usages), default=None),
-        "most/server": max((max(usage.by_backend.values()) for usage in usages), default=None),
-    }
+    return ConnectionFigures(
+        opened_per_request=_mean(usage.opened / usage.clients for usage in usages),
+        opened_by_chance=math.exp(-rate_per_s / nodes * timeout_s * IDLE_TIMEOUT_FRACTION),
+        mean_open=_mean(_mean(usage.samples) for usage in usages),
+        max_per_node=max((max(usage.by_node) for usage in usages), default=None),
+        max_per_backend=max((max(usage.by_backend.values()) for usage in usages), default=None),
+    )
+
+
+def _service_figures(fleets: Sequence[PooledFleetSimulation]) -> ServiceFigures:
+    spreads = [fleet.load_spread() for fleet in fleets]
+    return ServiceFigures(
+        variation=_mean(spread.variation for spread in spreads),
+        chance_variation=_mean(spread.chance_variation for spread in spreads),
+        max_over_mean=max(spread.max_over_mean for spread in spreads),
+        served=_mean(fleet.served_before_slow_start() for fleet in fleets),
+    )
+
+
+def _restart_figures(metrics: Sequence[RunMetrics]) -> RestartFigures:
+    return RestartFigures(
+        windows=sum(run.windows for run in metrics),
+        peak_fill=max(run.peak_fill for run in metrics),
+        over_by_requests=sum(run.over_by_requests for run in metrics),
+        served=_mean(run.served_fraction for run in metrics),
+        rejected=_mean(run.rejected_fraction for run in metrics),
+    )
 
 
 def _mean(figures: Iterable[float | None]) -> float | None:
@@ -126,18 +182,20 @@
     return statistics.fmean(measured) if measured else None
 
 
-def fleet_slopes(records: Sequence[Record]) -> dict[str, Slope]:
-    """Return lines over the number of nodes, which is that of backends."""
-    slopes = {}
-    for name in SLOPE_FIGURES:
-        measured = [record for record in records if record[name] is not None]
-        slopes[f"{name} over nodes"] = linear_regression(
-            [record["nodes"] for record in measured], [record[name] for record in measured]
-        )
-    for timeout in ("15s", "30s"):
-        measured = [record for record in records if record[f"held {timeout}"] is not None]
-        slopes[f"held a node {timeout} over nodes"] = linear_regression(
-            [record["nodes"] for record in measured],
-            [record[f"held {timeout}"] / record["nodes"] for record in measured],
-        )
+def fleet_slopes(records: Sequence[FleetRecord]) -> dict[str, Slope]:
+    """Return lines over the number of nodes, which equals the number of backends."""
+    rows = [record.row() for record in records]
+    slopes = {f"{name} over nodes": _fit_measured(rows, name) for name in SLOPE_FIGURES}
+    for timeout_s in IDLE_TIMEOUTS_S:
+        name = f"held a node {timeout_s:.0f}s"
+        open_per_node = [
+            {"nodes": record.nodes, name: mean_open / record.nodes}
+            for record in records
+            if (mean_open := record.connections[timeout_s].mean_open) is not None
+        ]
+        slopes[f"{name} over nodes"] = fit_columns(open_per_node, "nodes", name)
     return slopes
+
+
+def _fit_measured(rows: Sequence[Row], name: str) -> Slope:
+    return fit_columns([row for row in rows if row[name] is not None], "nodes", name)
--- a/benchmarks/models/fleet_scenario.py
+++ b/benchmarks/models/fleet_scenario.py
@@ -1,9 +1,8 @@
-"""The constants of the simulated fleet, its service classes, and the scenarios that are run."""
+"""The constants of the simulated fleet, its service classes, and the scenarios to simulate."""
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
-from typing import Any
+from dataclasses import dataclass
 
 from loadbalancer.settings import Idempotency, ServiceClass, Settings
 
@@ -37,18 +36,18 @@
 CLASSES_BY_NAME = {service_class.name: service_class for service_class in CLASSES}
 
 BACKEND_CORES = 2
-ACTIVE_PER_CORE = 14  # requests in flight that a backend takes
-QUEUED_PER_CORE = 16  # requests that it takes beyond these
+ACTIVE_PER_CORE = 14  # attempts in flight that a backend accepts
+QUEUED_PER_CORE = 16  # attempts that it accepts in addition
 CORE_SPEEDS = (2.0, 1.2, 0.8)  # by kind of backend; 1: a standard core
-CONGESTION_THRESHOLD = 24.0  # requests in flight a core, above which a backend slows down
+CONGESTION_THRESHOLD = 24.0  # attempts in flight a core, above which a backend slows down
 CONGESTION_SLOWDOWN = 0.18  # for each multiple of the threshold above it
 NETWORK_DELAY_MS = 0.4  # one way
 LOAD_REPORT_MAX_AGE_MS = 200.0
 
 SLOW_START_INITIAL_FRACTION = 0.12
 SLOW_START_MS = 23000.0
-OVERLOAD_FACTOR = 2.5  # of a warming backend's present capacity, above which it falls
-OVERLOAD_WINDOW_MS = 1500.0  # of such load, after which it falls
+OVERLOAD_FACTOR = 2.5  # of a warming backend's current capacity, above which it fails
+OVERLOAD_WINDOW_MS = 1500.0  # of such load, after which it fails
 WINDOW_INTERVAL_MS = 100.0  # between the ends of two counted windows
 
 
@@ -56,76 +55,79 @@
 class Scenario:
     """One simulated run; the backends in slow start start at `start_ms`."""
 
-    nodes: int
+    nodes: int = 5
     servers: int = 20
-    load: float = 0.6  # fraction of what all backends can do warmed up
+    load: float = 0.6  # fraction of the capacity of all backends when warmed up
     slow_start_fraction: float = 0.1  # of the backends
-    restart: bool = False  # the same backends come back, after a second; else others replace them
+    restart: bool = False  # the same backends come back after a second; else others replace them
     burst_factor: float = 1.0  # multiple of the load for a few seconds from `start_ms` on
     traffic_sigma: float = 0.0  # skew of the nodes' traffic: sigma of a lognormal
     client_attempts: int = 1  # that a client makes at most
     client_retry_delay_ms: float = 0.0
-    error_fraction: float = 0.001  # of attempts that a backend answers with an error
-    degraded_fraction: float = 0.0  # of the other backends, which turn slower at `start_ms`
+    error_fraction: float = 0.001  # of attempts to which a backend responds with an error
+    degraded_fraction: float = 0.0  # of the other backends, which become slower at `start_ms`
     # Range of the delay after which a node is notified of a change.
     notification_delay_ms: tuple[float, float] = (400.0, 2500.0)
     start_ms: float = 4000.0
     seconds: float = 12.0
     without_slow_start: bool = False  # no backend starts: the service for comparison
-    settings_overrides: dict[str, Any] = field(default_factory=dict)
+    max_attempts: int = 4  # of a node for a request
+    load_report_fields: tuple[str, ...] = ("eps", "inflight")
+    classes: tuple[ServiceClass, ...] = CLASSES
+    tier: int = 0
 
     def settings(self) -> Settings:
         """Return the nodes' settings."""
-        settings: dict[str, Any] = {
-            "classes": CLASSES,
-            "replicas": self.nodes,
-            "load_report_fields": ("eps", "inflight"),
-            "can_cancel": True,
-            "sends_retry_after": True,
-            "max_retry_after_ms": 2000.0,
-            "max_attempts": 4,
-            "uses_capacity": True,
-            "slow_start_initial_fraction": SLOW_START_INITIAL_FRACTION,
-            "slow_start_ms": SLOW_START_MS,
-            "overload_factor": OVERLOAD_FACTOR,
-        }
-        return Settings(**(settings | self.settings_overrides))
+        return Settings(
+            classes=self.classes,
+            tier=self.tier,
+            replicas=self.nodes,
+            load_report_fields=self.load_report_fields,
+            can_cancel=True,
+            sends_retry_after=True,
+            max_retry_after_ms=2000.0,
+            max_attempts=self.max_attempts,
+            uses_capacity=True,
+            slow_start_initial_fraction=SLOW_START_INITIAL_FRACTION,
+            slow_start_ms=SLOW_START_MS,
+            overload_factor=OVERLOAD_FACTOR,
+        )
 
 
 NODE_COUNTS = (5, 20, 30, 200)
-SCENARIOS: dict[str, dict[str, Any]] = {  # by name: what differs from the plain scenario
-    "steady": {},
-    "burst": {"load": 0.7, "burst_factor": 2.0, "slow_start_fraction": 0.2},
-    "retries": {
-        "load": 0.9,
-        "slow_start_fraction": 0.3,
-        "client_attempts": 5,
-        "client_retry_delay_ms": 50.0,
-        "error_fraction": 0.05,
-        "degraded_fraction": 0.3,
-    },
-    "uneven": {
-        "load": 0.7,
-        "slow_start_fraction": 0.3,
-        "traffic_sigma": 1.2,
-        "client_attempts": 4,
-        "client_retry_delay_ms": 200.0,
-    },
-    "restart": {
-        "load": 0.7,
-        "slow_start_fraction": 0.6,
-        "restart": True,
-        "client_attempts": 4,
-        "client_retry_delay_ms": 100.0,
-    },
-    "most": {"load": 0.6, "slow_start_fraction": 0.9, "client_attempts": 5},
-    "storm": {
-        "load": 0.8,
-        "slow_start_fraction": 0.9,
-        "burst_factor": 1.5,
-        "restart": True,
-        "client_attempts": 5,
-        "traffic_sigma": 1.0,
-    },
-    "all": {"load": 0.8, "slow_start_fraction": 1.0, "burst_factor": 1.5, "client_attempts": 5},
+SCENARIOS = {
+    "steady": Scenario(),
+    "burst": Scenario(load=0.7, burst_factor=2.0, slow_start_fraction=0.2),
+    "retries": Scenario(
+        load=0.9,
+        slow_start_fraction=0.3,
+        client_attempts=5,
+        client_retry_delay_ms=50.0,
+        error_fraction=0.05,
+        degraded_fraction=0.3,
+    ),
+    "uneven": Scenario(
+        load=0.7,
+        slow_start_fraction=0.3,
+        traffic_sigma=1.2,
+        client_attempts=4,
+        client_retry_delay_ms=200.0,
+    ),
+    "restart": Scenario(
+        load=0.7,
+        slow_start_fraction=0.6,
+        restart=True,
+        client_attempts=4,
+        client_retry_delay_ms=100.0,
+    ),
+    "most": Scenario(load=0.6, slow_start_fraction=0.9, client_attempts=5),
+    "storm": Scenario(
+        load=0.8,
+        slow_start_fraction=0.9,
+        burst_factor=1.5,
+        restart=True,
+        client_attempts=5,
+        traffic_sigma=1.0,
+    ),
+    "all": Scenario(load=0.8, slow_start_fraction=1.0, burst_factor=1.5, client_attempts=5),
 }
--- /dev/null
+++ b/benchmarks/models/pooled_fleet.py
@@ -0,0 +1,155 @@
+"""A simulated fleet whose nodes have connection pools, and the figures counted on it."""
+
+from __future__ import annotations
+
+import math
+from collections import Counter
+from collections.abc import Sequence
+from dataclasses import dataclass, field
+
+from benchmarks.models.connection_pool import (
+    MILLISECONDS_PER_S,
+    SWEEPS_PER_IDLE_TIMEOUT,
+    ModelledConnectionPool,
+)
+from benchmarks.models.fleet_entities import AttemptEnd, SimulatedAttempt, SimulatedBackend
+from benchmarks.models.fleet_metrics import LAST_REQUESTS_MS, fraction_served_in_time
+from benchmarks.models.fleet_scenario import Scenario
+from benchmarks.models.fleet_simulation import FleetSimulation
+from benchmarks.models.simulation_context import FleetObserver, SimulationContext
+from loadbalancer.events import AttemptResult
+from loadbalancer.proxy.connection_pool import IDLE_TIMEOUT_FRACTION
+
+RESULTS_WITH_RESPONSE = (  # after which a connection may be used again
+    AttemptResult.OK,
+    AttemptResult.ERROR,
+    AttemptResult.REJECTED,
+)
+SAMPLE_INTERVAL_MS = 125.0
+SETTLED_MS = 3000.0  # from which the load's spread is counted
+BEFORE_START_MS = 0.01  # before the slow start, at which the counts end
+BEFORE_FIRST_SAMPLE_MS = 0.1  # before the first sample, at which the counts begin
+
+
+@dataclass
+class PoolUsage:
+    """Connections with one idle timeout, between two sweeps before the slow start."""
+
+    opened: int = 0
+    clients: int = 0  # that arrived in the same period
+    samples: list[int] = field(default_factory=list)  # connections of all nodes together, regularly
+    by_node: list[int] = field(default_factory=list)  # connections at the end
+    by_backend: Counter[str] = field(default_factory=Counter)  # connections at the end
+
+
+class ConnectionObserver(FleetObserver):
+    """Gives each node one connection pool for each idle timeout; each attempt uses a connection of all."""
+
+    def __init__(self, context: SimulationContext, backend_idle_timeouts_s: Sequence[float]) -> None:
+        self.pools = {
+            timeout_s: [
+                ModelledConnectionPool(context.queue, timeout_s) for _ in range(context.scenario.nodes)
+            ]
+            for timeout_s in backend_idle_timeouts_s
+        }
+        # By attempt: the backend's incarnation at each pool.
+        self._incarnations: dict[SimulatedAttempt, list[int]] = {}
+
+    def on_attempt_sent(self, attempt: SimulatedAttempt) -> None:
+        """Acquire a connection of each pool."""
+        self._incarnations[attempt] = [
+            pools[attempt.node.number].acquire(attempt.backend.address) for pools in self.pools.values()
+        ]
+
+    def on_attempt_end(self, attempt: SimulatedAttempt, end: AttemptEnd) -> None:
+        """Release the attempt's connections, which are idle or closed from now on."""
+        address, reusable = attempt.backend.address, end.result in RESULTS_WITH_RESPONSE
+        incarnations = self._incarnations.pop(attempt)
+        for pools, incarnation in zip(self.pools.values(), incarnations, strict=True):
+            pools[attempt.node.number].release(address, incarnation, reusable=reusable)
+
+    def on_backends_stopped(self, backends: Sequence[SimulatedBackend]) -> None:
+        """Lose the connections to backends that have ended."""
+        for pools in self.pools.values():
+            for pool in pools:
+                for backend in backends:
+                    pool.drop_backend(backend.address)
+
+
+@dataclass(frozen=True, slots=True)
+class LoadSpread:
+    """How evenly the backends are loaded: requests by capacity."""
+
+    variation: float  # coefficient of variation
+    chance_variation: float  # that of independent draws in proportion to capacity
+    max_over_mean: float
+
+
+class PooledFleetSimulation(FleetSimulation):
+    """The fleet, each node with a connection pool for each of several idle timeouts of the backends."""
+
+    def __init__(self, scenario: Scenario, seed: int, backend_idle_timeouts_s: Sequence[float]) -> None:
+        """Prepare a run.
+
+        Args:
+            scenario: What is simulated.
+            seed: Of all random draws.
+            backend_idle_timeouts_s: When the backends close an idle connection; counted side by side.
+        """
+        super().__init__(scenario, seed)
+        self.connections = ConnectionObserver(self.context, backend_idle_timeouts_s)
+        self.context.observers.append(self.connections)
+        self.usage = {timeout_s: PoolUsage() for timeout_s in backend_idle_timeouts_s}
+        self._settled_requests: Counter[str] = Counter()  # by backend, from SETTLED_MS to the slow start
+        for timeout_s in backend_idle_timeouts_s:
+            self._schedule_counts(timeout_s)
+        self.queue.schedule(scenario.start_ms - BEFORE_START_MS, self._count_requests)
+
+    def _schedule_counts(self, timeout_s: float) -> None:
+        start_ms = self.scenario.start_ms
+        sweep_interval_ms = timeout_s * IDLE_TIMEOUT_FRACTION * MILLISECONDS_PER_S / SWEEPS_PER_IDLE_TIMEOUT
+        first_sample_ms = start_ms - sweep_interval_ms
+        self.queue.schedule(first_sample_ms - BEFORE_FIRST_SAMPLE_MS, self._begin_counts, timeout_s)
+        for index in range(round(sweep_interval_ms / SAMPLE_INTERVAL_MS)):
+            self.queue.schedule(first_sample_ms + index * SAMPLE_INTERVAL_MS, self._sample, timeout_s)
+        self.queue.schedule(start_ms - BEFORE_START_MS, self._end_counts, timeout_s)
+
+    def served_before_slow_start(self) -> float:
+        """Return the fraction of clients served in time between SETTLED_MS and the slow start."""
+        end_ms = self.scenario.start_ms - LAST_REQUESTS_MS
+        return fraction_served_in_time(
+            [client for client in self.clients.all if SETTLED_MS <= client.created_ms < end_ms]
+        )
+
+    def load_spread(self) -> LoadSpread:
+        """Return the spread of the requests over the backends from SETTLED_MS to the slow start."""
+        backends, total = self.backends.initial, self._settled_requests.total()
+        speeds = sum(backend.core_speed for backend in backends)
+        loads = [self._settled_requests[backend.address] / backend.core_speed for backend in backends]
+        mean = sum(loads) / len(loads)
+        variance = sum((load - mean) ** 2 for load in loads) / len(loads)
+        expected = [total * backend.core_speed / speeds for backend in backends]
+        chance_variance = sum(1.0 / requests for requests in expected) / len(expected)
+        return LoadSpread(math.sqrt(variance) / mean, math.sqrt(chance_variance), max(loads) / mean)
+
+    def _begin_counts(self, timeout_s: float) -> None:
+        usage = self.usage[timeout_s]
+        usage.opened -= sum(pool.opened for pool in self.connections.pools[timeout_s])
+        usage.clients -= len(self.clients.all)
+
+    def _end_counts(self, timeout_s: float) -> None:
+        usage, pools = self.usage[timeout_s], self.connections.pools[timeout_s]
+        usage.opened += sum(pool.opened for pool in pools)
+        usage.clients += len(self.clients.all)
+        usage.by_node = [pool.connections.total() for pool in pools]
+        for pool in pools:
+            usage.by_backend.update(pool.connections)
+
+    def _sample(self, timeout_s: float) -> None:
+        connections = sum(pool.connections.total() for pool in self.connections.pools[timeout_s])
+        self.usage[timeout_s].samples.append(connections)
+
+    def _count_requests(self) -> None:
+        for backend in self.backends.initial:
+            settled = sum(arrival.at_ms >= SETTLED_MS for arrival in backend.arrivals)
+            self._settled_requests[backend.address] = settled
--- a/tests/benchmarks/test_chain_model.py
+++ b/tests/benchmarks/test_chain_model.py
@@ -4,38 +4,49 @@
 
 import pytest
 
-from benchmarks.models import chain as chain_model
-from benchmarks.models.chain import NO_FAULT, ChainScenario, Fault, simulate_chain
-from benchmarks.models.chain_records import chain_slopes
+from benchmarks.models.chain import ChainSimulation, simulate_chain
+from benchmarks.models.chain_records import ChainRecord, chain_slopes
+from benchmarks.models.chain_scenario import NO_FAULT, ChainScenario, Fault
+from benchmarks.models.simulation_context import FleetObserver
 from loadbalancer.events import AttemptResult
 
+BOTTOM = 2  # the tier of a chain of three
 
-def chain(depth, fault, max_attempts, seed=1):
-    return simulate_chain(ChainScenario(depth, fault, max_attempts, seconds=6.0), seed)
 
+def chain_scenario(depth, fault, max_attempts):
+    return ChainScenario(depth, fault, max_attempts, seconds=6.0)
 
-@pytest.mark.parametrize("depth", [1, 3])
+
+def simulate(depth, fault, max_attempts, seed=1):
+    return simulate_chain(chain_scenario(depth, fault, max_attempts), seed)
+
+
+@pytest.mark.parametrize("depth", [pytest.param(1, id="one tier"), pytest.param(3, id="three tiers")])
 def test_request_is_one_attempt_a_tier_without_a_fault(depth):
-    metrics = chain(depth, NO_FAULT, 4)
+    metrics = simulate(depth, NO_FAULT, 4)
     assert metrics.clients > 200
     assert metrics.attempts_by_tier == [1.0] * depth
     assert (metrics.served_fraction, metrics.rejected_fraction, metrics.late_fraction) == (1.0, 0.0, 0.0)
 
 
-@pytest.mark.parametrize("result", [AttemptResult.REJECTED, AttemptResult.ERROR])
+@pytest.mark.parametrize(
+    "result",
+    [pytest.param(AttemptResult.REJECTED, id="rejected"), pytest.param(AttemptResult.ERROR, id="error")],
+)
 def test_faulty_attempts_are_retried_by_the_next_callers_only(result):
-    metrics = chain(3, Fault(2, result, 0.1), 4)
+    fault = Fault(BOTTOM, result, 0.1)
+    metrics = simulate(3, fault, 4)
     assert metrics.attempts_by_tier[:2] == [1.0, 1.0]
     assert metrics.attempts_by_tier[2] == pytest.approx(1.0 / 0.9, abs=0.06)
     assert metrics.served_fraction > 0.99
-    single = chain(3, Fault(2, result, 0.1), 1)
+    single = simulate(3, fault, 1)
     assert single.attempts_by_tier == [1.0] * 3
     assert single.served_fraction == pytest.approx(0.9, abs=0.05)
 
 
 def test_requests_that_fail_everywhere_are_retried_by_every_tier():
     """Each tier doubles them: with a fraction d of these, tiers get 1 + d, 1 + 3d, 1 + 7d attempts."""
-    metrics = chain(3, Fault(2, AttemptResult.REJECTED, 0.1, per_client=True), 2)
+    metrics = simulate(3, Fault(BOTTOM, AttemptResult.REJECTED, 0.1, per_client=True), 2)
     failing = 1.0 - metrics.served_fraction
     expected = [1.0 + failing, 1.0 + 3.0 * failing, 1.0 + 7.0 * failing]
     assert metrics.attempts_by_tier == pytest.approx(expected)
@@ -43,35 +54,58 @@
 
 def test_same_seed_gives_the_same_chain():
     fault = Fault(1, AttemptResult.REJECTED, 0.1)
-    assert chain(2, fault, 2) == chain(2, fault, 2)
-    assert chain(2, fault, 2) != chain(2, fault, 2, seed=2)
-
-
-def test_deadlines_are_propagated_from_tier_to_tier(monkeypatch):
-    attempt_deadlines, request_deadlines = {}, {}
-
-    class RecordingTier(chain_model.TierSimulation):
-        def submit(self, client, deadline_ms):
-            request_deadlines.setdefault(self.depth, set()).add(deadline_ms)
-            super().submit(client, deadline_ms)
-
-        def send_attempt(self, node, action):
-            attempt_deadlines.setdefault(self.depth, set()).add(self.now_ms + action.timeout_ms)
-            super().send_attempt(node, action)
-
-    monkeypatch.setattr(chain_model, "TierSimulation", RecordingTier)
-    chain(3, Fault(2, AttemptResult.REJECTED, 0.1), 2)
-    assert len(request_deadlines[2]) > 200
-    assert request_deadlines[1] <= attempt_deadlines[0]
-    assert request_deadlines[2] <= attempt_deadlines[1]
-    latest = [max(attempt_deadlines[depth]) for depth in (2, 1, 0)]
-    assert latest == sorted(latest)
-    assert latest[-1] <= max(request_deadlines[0])
+    assert simulate(2, fault, 2) == simulate(2, fault, 2)
+    assert simulate(2, fault, 2) != simulate(2, fault, 2, seed=2)
+
+
+class DeadlineRecorder(FleetObserver):
+    """Records the deadlines of a tier's requests and of their attempts."""
+
+    def __init__(self):
+        self.requests_ms = set()
+        self.attempts_ms = set()
+
+    def on_request(self, request):
+        self.requests_ms.add(request.deadline_ms)
+
+    def on_attempt_sent(self, attempt):
+        self.attempts_ms.add(attempt.deadline_ms)
+
+
+def test_deadlines_are_propagated_from_tier_to_tier():
+    chain = ChainSimulation(chain_scenario(3, Fault(BOTTOM, AttemptResult.REJECTED, 0.1), 2), 1)
+    top, centre, bottom = recorders = [DeadlineRecorder() for _ in chain.tiers]
+    for tier, recorder in zip(chain.tiers, recorders, strict=True):
+        tier.context.observers.append(recorder)
+    chain.run()
+    assert len(bottom.requests_ms) > 200
+    assert centre.requests_ms <= top.attempts_ms
+    assert bottom.requests_ms <= centre.attempts_ms
+    latest_ms = [max(tier.attempts_ms) for tier in (bottom, centre, top)]
+    assert latest_ms == sorted(latest_ms)
+    assert latest_ms[-1] <= max(top.requests_ms)
+
+
+def chain_record(depth):
+    return ChainRecord(
+        fault="none",
+        faulty_tier="last",
+        max_attempts=4,
+        depth=depth,
+        clients=1,
+        attempts=2.0 * depth,
+        attempts_per_tier=2.0,
+        attempts_at_fault=1.0,
+        attempts_at_top=2.0,
+        served=1.0,
+        rejected=0.0,
+        late=0.0,
+        shed=0.0,
+        attempts_by_tier=[2.0] * depth,
+    )
 
 
 def test_slopes_of_chains_are_over_the_depth():
-    case = {"tenth of": "none", "tier": "last", "max attempts": 4, "there": 1.0}
-    records = [{**case, "depth": depth, "sent": 2.0 * depth} for depth in (1, 2, 3, 4)]
-    slopes = chain_slopes(records)
+    slopes = chain_slopes([chain_record(depth) for depth in (1, 2, 3, 4)])
     assert slopes["sent over depth: none; last tier; at most 4"].per_unit == pytest.approx(2.0)
     assert slopes["there over depth: none; last tier; at most 4"].per_unit == pytest.approx(0.0)
--- a/tests/benchmarks/test_connection_pool_model.py
+++ b/tests/benchmarks/test_connection_pool_model.py
@@ -2,17 +2,16 @@
 
 from __future__ import annotations
 
-from benchmarks.models.connection_pool import (
-    RESULTS_WITH_RESPONSE,
-    ModelledConnectionPool,
-    PooledFleetSimulation,
-)
+from benchmarks.models.connection_pool import ModelledConnectionPool
 from benchmarks.models.event_queue import EventQueue
 from benchmarks.models.fleet_records import fleet_record
 from benchmarks.models.fleet_scenario import Scenario
+from benchmarks.models.pooled_fleet import RESULTS_WITH_RESPONSE, PooledFleetSimulation
+from benchmarks.models.simulation_context import FleetObserver
 from loadbalancer.proxy.connection_pool import IDLE_TIMEOUT_FRACTION
 
 IDLE_TIMEOUT_S = 4.0  # after which the backends here close an idle connection; nodes do at half of it
+MAX_IDLE_MS = 1000.0 * IDLE_TIMEOUT_S * IDLE_TIMEOUT_FRACTION * 1.25  # a node sweeps four times a timeout
 
 
 def advance(queue, ms):
@@ -30,7 +29,7 @@
     pool.release("a", second, reusable=True)
     assert (pool.opened, pool.connections["a"]) == (2, 2)
     advance(queue, 5.0)
-    pool.acquire("a")  # the newest was answered 5 ms ago
+    pool.acquire("a")  # the newest got its response 5 ms ago
     assert (pool.opened, pool.reused, pool.idle_since_ms["a"]) == (2, 1, [newest_ms])
     pool.acquire("a")
     assert (pool.opened, pool.reused) == (3, 1)
@@ -61,38 +60,33 @@
     assert (pool.connections["a"], pool.idle_since_ms) == (0, {})
 
 
-class CheckedFleetSimulation(PooledFleetSimulation):
+class ConnectionChecker(FleetObserver):
     """Compares the connections of all nodes with what the attempts need, eight times a second."""
 
-    def __init__(self, scenario, seed):
-        super().__init__(scenario, seed, (IDLE_TIMEOUT_S,))
+    def __init__(self, fleet):
+        self.fleet = fleet
         self.attempts_in_flight = 0
         self.responses_ms = []
         self.checks = 0
-        self.schedule(0.0, self.check)
+        fleet.queue.schedule(0.0, self.check)
 
-    def send_attempt(self, node, action):
+    def on_attempt_sent(self, _attempt):
         self.attempts_in_flight += 1
-        super().send_attempt(node, action)
 
-    def end_attempt(self, attempt, end):
-        if attempt.pending:
-            self.attempts_in_flight -= 1
-            self.responses_ms += [self.now_ms] * (end.result in RESULTS_WITH_RESPONSE)
-        super().end_attempt(attempt, end)
+    def on_attempt_end(self, _attempt, end):
+        self.attempts_in_flight -= 1
+        self.responses_ms += [self.fleet.queue.now_ms] * (end.result in RESULTS_WITH_RESPONSE)
 
     def check(self):
         self.checks += 1
-        pools = self.pools[IDLE_TIMEOUT_S]
+        pools = self.fleet.connections.pools[IDLE_TIMEOUT_S]
         idle = sum(len(since_ms) for pool in pools for since_ms in pool.idle_since_ms.values())
         connections = sum(pool.connections.total() for pool in pools)
-        longest_idle_ms = (
-            1000.0 * IDLE_TIMEOUT_S * IDLE_TIMEOUT_FRACTION * 1.25
-        )  # a sweep comes four times in it
+        oldest_idle_ms = self.fleet.queue.now_ms - MAX_IDLE_MS
         assert min((count for pool in pools for count in pool.connections.values()), default=0) >= 0
         assert connections - idle <= self.attempts_in_flight
-        assert idle <= sum(response_ms >= self.now_ms - longest_idle_ms for response_ms in self.responses_ms)
-        self.schedule(125.0, self.check)
+        assert idle <= sum(response_ms >= oldest_idle_ms for response_ms in self.responses_ms)
+        self.fleet.queue.schedule(125.0, self.check)
 
 
 def test_nodes_have_no_more_connections_than_their_requests_need():
@@ -106,12 +100,14 @@
         start_ms=4000.0,
         seconds=7.0,
     )
-    fleet = CheckedFleetSimulation(scenario, 1)
+    fleet = PooledFleetSimulation(scenario, 1, (IDLE_TIMEOUT_S,))
+    checker = ConnectionChecker(fleet)
+    fleet.context.observers.append(checker)
     fleet.run()
-    pools = fleet.pools[IDLE_TIMEOUT_S]
-    attempts = sum(len(request.attempts) for request in fleet.requests.values())
+    pools = fleet.connections.pools[IDLE_TIMEOUT_S]
+    attempts = sum(len(request.attempts) for request in fleet.nodes.requests.values())
     assert attempts > 500
-    assert fleet.checks >= 50
+    assert checker.checks >= 50
     assert sum(pool.opened + pool.reused for pool in pools) == attempts
     assert sum(pool.reused for pool in pools) > sum(pool.opened for pool in pools) > 0
     assert fleet.usage[IDLE_TIMEOUT_S].samples
@@ -119,7 +115,7 @@
 
 def test_same_seed_gives_the_same_fleet_record():
     def record(seed):
-        return {name: figure for name, figure in fleet_record(4, seed, 1).items() if name != "ms/call"}
+        return {name: figure for name, figure in fleet_record(4, seed, 1).row().items() if name != "ms/call"}
 
     assert record(1) == record(1)
     assert record(1) != record(2)
--- a/tests/benchmarks/test_report.py
+++ b/tests/benchmarks/test_report.py
@@ -7,7 +7,8 @@
 import orjson
 import pytest
 
-from benchmarks.support.report import InsufficientSizesError, format_table, linear_regression, write_results
+from benchmarks.support.regression import InsufficientSizesError, linear_regression
+from benchmarks.support.report import format_table, write_results
 
 
 def test_fitted_line_has_its_standard_error():
--- a/tests/benchmarks/test_slow_start.py
+++ b/tests/benchmarks/test_slow_start.py
@@ -16,7 +16,7 @@
 import pytest
 
 from benchmarks.models.fleet_metrics import RunMetrics
-from benchmarks.models.fleet_scenario import NODE_COUNTS, SCENARIOS, Scenario
+from benchmarks.models.fleet_scenario import NODE_COUNTS, SCENARIOS
 from benchmarks.models.fleet_simulation import simulate
 from loadbalancer.policy.slow_start import SlowStart
 
@@ -24,8 +24,8 @@
 
 
 def run(nodes: int, scenario_name: str, seed: int = 1) -> RunMetrics:
-    scenario = Scenario(nodes, start_ms=2500.0, seconds=7.0)
-    return simulate(replace(scenario, **SCENARIOS[scenario_name]), seed)
+    scenario = replace(SCENARIOS[scenario_name], nodes=nodes, start_ms=2500.0, seconds=7.0)
+    return simulate(scenario, seed)
 
 
 cached_run = cache(run)
