--- a/tests/http/test_client_connection.py
+++ b/tests/http/test_client_connection.py
@@ -3,63 +3,78 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import os
 
 import pytest
 
 from loadbalancer.events import AttemptResult
-from loadbalancer.proxy.connection_pool import ConnectionPool
-from tests.support.loopback import read_message, reply
-from tests.support.proxy import start_attempt
+from loadbalancer.http.addresses import Address
+from tests.support.loopback import LoopbackServer, read_message, reply
+from tests.support.proxy import attempt_result, make_pool
 
+POST = b"POST /post/1 HTTP/1.1\r\nReq-Id: q\r\nContent-Length: 0\r\n\r\n"
 OK_HEAD = b"HTTP/1.1 200 OK\r\n"
 
 
-async def attempt_and_kept_connections(response: bytes, more: bytes = b"") -> tuple[AttemptResult, int]:
-    """One attempt's result and the number of connections kept after it.
+class EndlessBackend(LoopbackServer):
+    """A backend that sends `response` to the first request of a connection, then `more` without end."""
 
-    The server sends `response`, then `more` without end.
-    """
+    def __init__(self, response: bytes, more: bytes) -> None:
+        super().__init__()
+        self._response = response
+        self._more = more
 
-    async def serve(reader, writer):
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_message(reader)
-        writer.write(response)
-        while more and not writer.transport.is_closing():
-            writer.write(more)
+        writer.write(self._response)
+        while self._more and not writer.transport.is_closing():
+            writer.write(self._more)
             await asyncio.sleep(0)
 
-    server = await asyncio.start_server(serve, "127.0.0.1", 0)
-    pool = ConnectionPool(10, 10.0, 20.0)
-    pool.add("s", server.sockets[0].getsockname())
-    done: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
-    data = b"POST /post/1 HTTP/1.1\r\nReq-Id: q\r\nContent-Length: 0\r\n\r\n"
-    start_attempt(pool, "s", lambda result, _: done.set_result(result), data)
-    result = await done
-    await asyncio.sleep(0)
-    kept_connections = pool.size
-    pool.close()
-    server.close()
-    return result, kept_connections
+
+async def attempt_and_pooled_connections(response: bytes, more: bytes = b"") -> tuple[AttemptResult, int]:
+    """One attempt's result and the number of connections pooled after it."""
+    async with EndlessBackend(response, more) as server:
+        with contextlib.closing(make_pool()) as pool:
+            pool.add("s", Address("127.0.0.1", server.port))
+            result = await attempt_result(pool, data=POST)
+            await asyncio.sleep(0)
+            return result, pool.size
 
 
 @pytest.mark.parametrize(
     ("response", "more"),
     [
-        (OK_HEAD + b"X-Endless: ", b"y" * 1000),
-        (OK_HEAD, b"X-Pad: y\r\n"),
-        (b"", b"HTTP/1.1 102 Processing\r\n\r\n"),
-        (OK_HEAD + b"Content-Length: 3000000000\r\n\r\n", b""),
-        (OK_HEAD + b"\r\n", b"until the end"),
-        (OK_HEAD + b"Content-Length: 3\r\nContent-Length: 9\r\n\r\nabcdefghi", b""),
-        (OK_HEAD + b"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", b""),
-        (OK_HEAD + b"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\nzz\r\n", b""),
-        (OK_HEAD + b"no colon\r\nContent-Length: 0\r\n\r\n", b""),
+        pytest.param(OK_HEAD + b"X-Endless: ", b"y" * 1000, id="endless header"),
+        pytest.param(OK_HEAD, b"X-Pad: y\r\n", id="endless head"),
+        pytest.param(b"", b"HTTP/1.1 102 Processing\r\n\r\n", id="endless interim responses"),
+        pytest.param(OK_HEAD + b"Content-Length: 3000000000\r\n\r\n", b"", id="length over the limit"),
+        pytest.param(OK_HEAD + b"\r\n", b"until the end", id="no length"),
+        pytest.param(
+            OK_HEAD + b"Content-Length: 3\r\nContent-Length: 9\r\n\r\nabcdefghi", b"", id="two lengths"
+        ),
+        pytest.param(
+            OK_HEAD + b"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
+            b"",
+            id="length and chunks",
+        ),
+        pytest.param(
+            OK_HEAD + b"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\nzz\r\n", b"", id="malformed chunk"
+        ),
+        pytest.param(OK_HEAD + b"no colon\r\nContent-Length: 0\r\n\r\n", b"", id="malformed header"),
     ],
 )
-def test_unusable_response_resets_the_attempt_and_ends_its_connection(response, more):
-    assert asyncio.run(attempt_and_kept_connections(response, more)) == (AttemptResult.RESET, 0)
+async def test_unusable_response_resets_the_attempt_and_ends_its_connection(response, more):
+    assert await attempt_and_pooled_connections(response, more) == (AttemptResult.RESET, 0)
 
 
-@pytest.mark.parametrize("behind", [reply(), os.urandom(40) + b"\r\n\r\n"])
-def test_bytes_behind_a_complete_response_end_the_connection(behind):
-    assert asyncio.run(attempt_and_kept_connections(reply() + behind)) == (AttemptResult.OK, 0)
+@pytest.mark.parametrize(
+    "behind",
+    [
+        pytest.param(reply(), id="second response"),
+        pytest.param(os.urandom(40) + b"\r\n\r\n", id="random bytes"),
+    ],
+)
+async def test_bytes_behind_a_complete_response_end_the_connection(behind):
+    assert await attempt_and_pooled_connections(reply() + behind) == (AttemptResult.OK, 0)
