--- a/loadbalancer/http/client_connection.py
+++ b/loadbalancer/http/client_connection.py
@@ -24,7 +24,8 @@
     def on_connection_lost(self, *, request_written: bool) -> None:
         """The connection ended without a complete response.
 
-        `request_written`: whether the last byte of the request had left this process.
+        Args:
+            request_written: Whether the last byte of the request has left this process.
         """
 
 
@@ -34,11 +35,13 @@
     A response that the parser finds unusable ends the connection at once.
     """
 
-    def __init__(self, on_closed: Callable[[ClientConnection], None], max_body: int = MAX_BODY_BYTES) -> None:
-        self.idle_since = 0.0  # for the owner's use
+    def __init__(
+        self, on_closed: Callable[[ClientConnection], None], max_body_bytes: int = MAX_BODY_BYTES
+    ) -> None:
+        self.idle_since = 0.0  # the event loop's time in seconds; written and read by the owner
         self._on_closed = on_closed
         self._transport: asyncio.Transport | None = None
-        self._parser = ResponseParser(max_body)
+        self._parser = ResponseParser(max_body_bytes)
         self._exchange: Exchange | None = None
         self._request_written = True
         self._ended = False  # by either end; the transport may still be open
--- a/loadbalancer/http/request_parser.py
+++ b/loadbalancer/http/request_parser.py
@@ -57,9 +57,11 @@
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self._fail(HTTPStatus.BAD_REQUEST)
-        if self._in_head:  # Guard: the parser reports a header only once it is complete.
+        if self._in_head:
+            # Guard: the parser reports a header only once it is complete, so that an endless header would
+            # never be counted. The bytes of each read are counted as well; the first of these reads may also
+            # hold the body of the previous request.
             self._head_bytes += len(data)
-            # The first of these reads may also hold the body of the previous request.
             if self._head_bytes > MAX_HEAD_BYTES + MAX_BODY_BYTES:
                 self._fail(HTTPStatus.BAD_REQUEST)
 
