--- a/loadbalancer/discovery/watch_client.py
+++ b/loadbalancer/discovery/watch_client.py
@@ -91,8 +91,8 @@
 
     def reconnect_to(self, address: Address) -> None:
         """Follow the list at this address from now on, starting from the current revision."""
-        # Guard: the node soon counts as notified of all changes at the new address. A backoff, or a watch that
-        # has become silent at the same address, would delay the first request, so both are dropped.
+        # Guard: the node soon counts as notified of all changes at the new address. A backoff, or a watch
+        # that has become silent at the same address, would delay the first request, so both are dropped.
         self.close()
         self._address, self._task, self._failures = address, None, 0
         self.start()
--- a/tests/discovery_server/test_update_pipeline.py
+++ b/tests/discovery_server/test_update_pipeline.py
@@ -12,7 +12,6 @@
     Registry,
     address_of,
     discovery_server,
-    list_response,
     ready,
 )
 from tests.discovery_server.model import MAX_LOG_ENTRIES, ModelCluster, ModelNode, ModelServer
@@ -138,16 +137,16 @@
 async def test_client_far_ahead_is_rejected_with_503_and_served_after_the_write(tmp_path):
     registry = await Registry(**ready("a")).start()
     async with discovery_server(tmp_path, registry.endpoint) as server:
-        await until(lambda: server.frontend.listener.ready)
-        store = server.pipelines["s"].store
+        await until(lambda: server.ready)
         client = await Client.connect(address_of(server))
-        client_revision = store.revision + (FAR_TICKS << TAG_BITS) + OTHER_TAG
+        client_revision = (await client.get_list()).revision + (FAR_TICKS << TAG_BITS) + OTHER_TAG
         client.send_watch(client_revision)
         rejection = await client.read()
         assert (rejection.status, rejection.headers["retry-after"]) == (503, "1.000")
-        await until(lambda: store.revision > client_revision)
-        client.send_watch(client_revision)
-        served = list_response(await client.read())
-        assert served == (store.revision, True, ["a"])
+        while (await client.get_list()).revision <= client_revision:
+            continue
+        served = await client.watch(client_revision)
+        assert served == (await client.get_list())
+        assert (served.complete, served.uids) == (True, ["a"])
         client.writer.close()
     registry.stop()
