--- a/loadbalancer/discovery/__init__.py
+++ b/loadbalancer/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The discovery protocol as a client sees it: the endpoint list, its watch, and the watch's time budget."""
+"""The client side of the discovery protocol: the endpoint list, its watch and the watch's time budget."""
--- a/loadbalancer/discovery/endpoint_list.py
+++ b/loadbalancer/discovery/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: its type, and its form on the wire."""
+"""The endpoint list and its parsing from the wire format."""
 
 from __future__ import annotations
 
@@ -19,9 +19,10 @@
 
 
 class EndpointListError(ValueError):
-    """An endpoint list that is malformed; `field` names the field at fault as it is on the wire.
+    """A malformed endpoint list.
 
-    `field` is "" if the value isn't an object at all.
+    Attributes:
+        field: the name on the wire of the field at fault; "" if the value isn't an object.
     """
 
     def __init__(self, field: str, reason: str) -> None:
@@ -31,21 +32,21 @@
 
 @dataclass(slots=True, frozen=True, eq=False, repr=False)
 class EndpointList:
-    """All endpoints of a service at a revision, or those changed since an earlier one."""
+    """All endpoints of a service at a revision, or those that have changed since an earlier revision."""
 
     revision: int
-    complete: bool  # False: only what has changed
+    complete: bool  # False: only the endpoints that have changed
     endpoints: tuple[Endpoint, ...]
     addresses: dict[str, Address]  # by the endpoint's name
 
 
 def parse_endpoint_list(value: object) -> EndpointList:
-    """Read an endpoint list from its JSON value.
+    """Parse an endpoint list from its JSON value.
 
-    An endpoint is named by its uid, which neither its restart nor another node changes.
+    An endpoint's name is its uid, which is the same after a restart and at every node.
 
     Raises:
-        EndpointListError: if a required field is absent or a field has the wrong type or value.
+        EndpointListError: a required field is absent, or a field has the wrong type or value.
     """
     if not isinstance(value, dict):
         raise EndpointListError("", "not an object")
--- a/loadbalancer/discovery/watch_client.py
+++ b/loadbalancer/discovery/watch_client.py
@@ -1,4 +1,4 @@
-"""The watch of the endpoint list: long polls, each from the revision that the one before returned."""
+"""The watch of the endpoint list: a series of long polls, each from the revision of the previous response."""
 
 from __future__ import annotations
 
@@ -12,45 +12,45 @@
 
 from loadbalancer.discovery.endpoint_list import EndpointList, parse_endpoint_list
 from loadbalancer.discovery.watch_timing import (
-    WATCH_ANSWER_GRACE_MS,
     WATCH_CONNECT_MS,
     WATCH_FIRST_WAIT_MS,
     WATCH_INITIAL_BACKOFF_MS,
+    WATCH_RESPONSE_GRACE_MS,
 )
 from loadbalancer.events import UpdateKind
 from loadbalancer.http.addresses import Address
 from loadbalancer.http.client_connection import ClientConnection, HttpResponse
 
-log = logging.getLogger("loadbalancer")
+logger = logging.getLogger(__name__)
 
 PATH = "/discovery/hosts"
-ANSWER_GRACE_S = WATCH_ANSWER_GRACE_MS / 1000.0
+RESPONSE_GRACE_S = WATCH_RESPONSE_GRACE_MS / 1000.0
 CONNECT_TIMEOUT_S = WATCH_CONNECT_MS / 1000.0
 FIRST_WAIT_MS = WATCH_FIRST_WAIT_MS
 PUSH_BACKOFF_S = WATCH_INITIAL_BACKOFF_MS / 1000.0  # from the second failure in a row, where lists are pushed
-EMPTY_ANSWER_PAUSE_S = 0.1  # after an early response without changes; the time budget allows 0.2 s
+EMPTY_RESPONSE_PAUSE_S = 0.1  # after an early response without changes; the time budget allows 0.2 s
 MAX_ENDPOINT_LIST_BYTES = 16 * 1024 * 1024
 
 UpdateCallback = Callable[[UpdateKind, EndpointList | None], None]
-"""Called with each update; the list is None if its kind is UNAVAILABLE."""
+"""Receives each update; the list is None if the kind is UNAVAILABLE."""
 
 
 class WatchResponseError(ValueError):
-    """A response of discovery with a status or a kind of list that the request doesn't allow."""
+    """A response whose status or kind of list does not match the watch request."""
 
 
 @dataclass(slots=True, frozen=True, eq=False, repr=False)
 class WatchOptions:
-    """How a watch follows its list."""
+    """The options of a watch."""
 
-    wait_ms: float  # how long discovery may keep a call waiting for a change
-    retries_forever: bool  # False: a failed call ends the watch, and its owner starts the next one
-    refresh_on_connect: bool = False  # the first call of each connection requests the complete list
+    wait_ms: float  # the longest that discovery may delay its response until there is a change
+    retries_forever: bool  # False: a failed watch request ends the watch, and the owner starts the next one
+    refresh_on_connect: bool = False  # the first request on each connection asks for the complete list
     parse: Callable[[object], EndpointList] = parse_endpoint_list  # raises ValueError
 
 
 class _PendingResponse:
-    """The exchange of one call to discovery: a future of its response."""
+    """The exchange of one watch request: a future of its response."""
 
     def __init__(self) -> None:
         self.future: asyncio.Future[HttpResponse] = asyncio.get_running_loop().create_future()
@@ -62,15 +62,15 @@
 
     def on_connection_lost(self, *, request_written: bool) -> None:
         """Fail the future with ConnectionError."""
-        del request_written  # a call to discovery may be repeated in any case
+        del request_written  # a watch request is idempotent
         if not self.future.done():
             self.future.set_exception(ConnectionError("discovery closed the connection"))
 
 
 class WatchClient:
-    """Follows the endpoint list at one address, with one call at a time.
+    """Follows the endpoint list at one address, with one watch request at a time.
 
-    Each response is passed to `on_update`, also one without changes; each failed call as UNAVAILABLE.
+    `on_update` receives each response, including those without changes, and UNAVAILABLE for each failure.
     """
 
     def __init__(
@@ -90,15 +90,15 @@
             self._task = asyncio.create_task(self._follow())
 
     def reconnect_to(self, address: Address) -> None:
-        """Follow the list at this address from now on, from the revision that is held."""
-        # Guard: its changes count as notified soon, so it is called now, whatever went before: a backoff, or
-        # at the same address a watch that may have fallen silent unnoticed.
+        """Follow the list at this address from now on, starting from the current revision."""
+        # Guard: the node soon counts as notified of all changes at the new address. A backoff, or a watch
+        # that has become silent at the same address, would delay the first request. Both are dropped.
         self.close()
         self._address, self._task, self._failures = address, None, 0
         self.start()
 
     def close(self) -> None:
-        """End the watch; `on_update` is not called any more."""
+        """End the watch; `on_update` receives nothing more."""
         if self._task is not None:
             self._task.cancel()
         self._disconnect()
@@ -106,15 +106,15 @@
     async def _follow(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            called_at = loop.time()
+            started_at_s = loop.time()
             try:
                 endpoint_list = await self._request_list()
             except (OSError, TimeoutError, ValueError) as error:
                 self._report_failure(error)
                 if not self._options.retries_forever:
                     return
-                # Guard: after a reset or a silence the agent may have changes that count as notified: a
-                # backoff before the first retry left the node without them for longer than need be.
+                # Guard: after a reset or a silence, discovery may have changes of which the node already
+                # counts as notified, and a backoff would delay them. The first retry follows at once.
                 if self._failures > 1:
                     await asyncio.sleep(PUSH_BACKOFF_S)
                 continue
@@ -123,36 +123,37 @@
             self._revision = endpoint_list.revision
             kind = UpdateKind.COMPLETE if endpoint_list.complete else UpdateKind.DELTA
             self._on_update(kind, endpoint_list)
-            if unchanged and loop.time() - called_at < EMPTY_ANSWER_PAUSE_S:
-                # Guard: an agent that responds without waiting would be called without end.
-                await asyncio.sleep(EMPTY_ANSWER_PAUSE_S)
+            if unchanged and loop.time() - started_at_s < EMPTY_RESPONSE_PAUSE_S:
+                # Guard: discovery that responds without waiting would get watch requests in an endless loop.
+                await asyncio.sleep(EMPTY_RESPONSE_PAUSE_S)
 
     def _report_failure(self, error: Exception) -> None:
         self._disconnect()
         self._failures += 1
         if self._failures == 1 or isinstance(error, ValueError):
-            cause = " ".join(str(error).split()) or "no answer in time"
-            log.warning("endpoint list unavailable, keeping last known good: %s", cause)
+            cause = " ".join(str(error).split()) or "no response in time"
+            logger.warning("endpoint list unavailable, keeping last known good: %s", cause)
         if not self._options.retries_forever:
             self._task = None
         self._on_update(UpdateKind.UNAVAILABLE, None)
 
     async def _request_list(self) -> EndpointList:
-        """Call discovery once.
+        """Send one watch request and return the list of its response.
 
         Raises:
-            OSError: if it can't be reached, is too slow (TimeoutError) or closes the connection.
-            ValueError: if its response can't be used.
+            OSError: discovery can't be reached, is too slow (TimeoutError) or closes the connection.
+            ValueError: the response can't be used.
         """
         connection, wait_ms, refresh = self._connection, self._options.wait_ms, False
         if connection is None or not connection.reusable:
             connection = await self._connect()
-            # Guard: after a change of address, one that accepts and stays silent would be noticed too late.
+            # Guard: discovery that accepts connections and never responds would be noticed too late after a
+            # change of address. The first request on a connection therefore has a shorter wait.
             wait_ms = min(wait_ms, FIRST_WAIT_MS)
             refresh = self._options.refresh_on_connect
-        response = await self._call(connection, wait_ms, complete=refresh)
+        response = await self._send_request(connection, wait_ms, complete=refresh)
         if response.status != HTTPStatus.OK:
-            raise WatchResponseError(f"discovery answered {response.status}")
+            raise WatchResponseError(f"discovery responded with status {response.status}")
         endpoint_list = self._options.parse(orjson.loads(response.body))
         if refresh and not endpoint_list.complete:
             raise WatchResponseError("discovery sent changes where the complete list was requested")
@@ -167,14 +168,17 @@
         self._connection = connection
         return connection
 
-    async def _call(self, connection: ClientConnection, wait_ms: float, *, complete: bool) -> HttpResponse:
+    async def _send_request(
+        self, connection: ClientConnection, wait_ms: float, *, complete: bool
+    ) -> HttpResponse:
         query = "" if complete else f"?since={self._revision}&timeout_ms={int(wait_ms)}"
         host, port = self._address
         request = f"GET {PATH}{query} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n"
         pending = _PendingResponse()
         connection.send_request(request.encode(), pending)
-        # Guard: a turn that comes late finds both response and limit there; a time-out dropped the response.
-        done, _ = await asyncio.wait({pending.future}, timeout=wait_ms / 1000.0 + ANSWER_GRACE_S)
+        # Guard: a late turn of the event loop finds both the response and the expired time limit, and
+        # `asyncio.wait_for` would drop the response. `asyncio.wait` returns it.
+        done, _ = await asyncio.wait({pending.future}, timeout=wait_ms / 1000.0 + RESPONSE_GRACE_S)
         if not done:
             raise TimeoutError
         return pending.future.result()
--- a/tests/proxy/test_endpoint_updates.py
+++ b/tests/proxy/test_endpoint_updates.py
@@ -100,7 +100,7 @@
 
 def test_unanswered_discovery_request_fails_and_the_policy_polls_again(monkeypatch):
     async def main():
-        monkeypatch.setattr("loadbalancer.discovery.watch_client.ANSWER_GRACE_S", 0.05)
+        monkeypatch.setattr("loadbalancer.discovery.watch_client.RESPONSE_GRACE_S", 0.05)
         discovery = ScriptedDiscovery()
         async with running_proxy(
             LoopbackServer(), discovery=discovery, settings={"invariants": {"askWithinMs": 100.0}}
--- a/tests/proxy/test_watch_races.py
+++ b/tests/proxy/test_watch_races.py
@@ -48,7 +48,7 @@
 @contextlib.asynccontextmanager
 async def following_watch(monkeypatch, answer_grace_s=60.0, **more):
     """A proxy that follows this discovery, with a backoff that never ends."""
-    monkeypatch.setattr("loadbalancer.discovery.watch_client.ANSWER_GRACE_S", answer_grace_s)
+    monkeypatch.setattr("loadbalancer.discovery.watch_client.RESPONSE_GRACE_S", answer_grace_s)
     monkeypatch.setattr("loadbalancer.discovery.watch_client.FIRST_WAIT_MS", 50.0)
     monkeypatch.setattr("loadbalancer.discovery.watch_client.PUSH_BACKOFF_S", 3600.0)
     discovery = ManualDiscovery()
@@ -153,7 +153,7 @@
 
 def test_discovery_that_answers_without_waiting_is_not_polled_without_pause(monkeypatch):
     async def main():
-        monkeypatch.setattr("loadbalancer.discovery.watch_client.EMPTY_ANSWER_PAUSE_S", 3600.0)
+        monkeypatch.setattr("loadbalancer.discovery.watch_client.EMPTY_RESPONSE_PAUSE_S", 3600.0)
         discovery = ManualDiscovery()
         async with running_proxy(discovery=discovery, settings=PUSH) as proxy:
             for _ in range(2):  # the first one has a change
