--- a/benchmarks/profiled_proxy.py
+++ b/benchmarks/profiled_proxy.py
@@ -104,7 +104,9 @@
     },
     "loadbalancer/proxy/connection_pool.py": {
         "acquire_idle": "pool: acquire and release",
+        "take_idle": "pool: acquire and release",
         "release": "pool: acquire and release",
+        "add_idle": "pool: acquire and release",
         "ensure_capacity": "pool: evict idle",
         "_sweep": "sweeps, heartbeat and statistics",
         "connect": "upstream: connect",
--- a/loadbalancer/proxy/connection_pool.py
+++ b/loadbalancer/proxy/connection_pool.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 
 from loadbalancer.http.addresses import Address
 from loadbalancer.http.client_connection import ClientConnection
@@ -20,17 +20,53 @@
     Attributes:
         address: the endpoint listens there.
         started_ms: the endpoint's start in Unix time; None: long ago.
-        idle: connections that carry no request, the one idle for longest first; written by the pool alone.
+        removed: whether the endpoint has left the pool, so that no connection to it may be kept.
     """
 
-    __slots__ = ("_removal_callbacks", "address", "idle", "started_ms")
+    __slots__ = ("_idle", "_removal_callbacks", "address", "removed", "started_ms")
 
     def __init__(self, address: Address, started_ms: float | None) -> None:
         self.address = address
         self.started_ms = started_ms
-        self.idle: list[ClientConnection] = []
+        self.removed = False
+        self._idle: list[ClientConnection] = []
         self._removal_callbacks: set[Callable[[], None]] = set()
 
+    @property
+    def idle(self) -> Sequence[ClientConnection]:
+        """Connections that carry no request, the one idle for longest first."""
+        return self._idle
+
+    def take_idle(self, now_s: float, idle_timeout_s: float) -> ClientConnection | None:
+        """Take out the usable connection that became idle last; close those that are found unusable."""
+        # Guard: a faulty endpoint can send a second response 1 to 4 ms after the first. On a connection that
+        # already carries the next request it would be served to that request. A connection is therefore not
+        # reused for `REUSE_DELAY_S` after its response. Trade-off: requests that come closer together than
+        # that need a new connection.
+        for index in reversed(range(len(self._idle))):
+            connection = self._idle[index]
+            if now_s - connection.idle_since < REUSE_DELAY_S:
+                continue
+            del self._idle[index]
+            if now_s - connection.idle_since < idle_timeout_s and connection.reusable:
+                return connection
+            connection.abort()
+        return None
+
+    def take_longest_idle(self) -> ClientConnection:
+        """Take out the connection that has been idle for longest; IndexError if none is idle."""
+        return self._idle.pop(0)
+
+    def add_idle(self, connection: ClientConnection, now_s: float) -> None:
+        """Keep a connection that has become idle now."""
+        connection.idle_since = now_s
+        self._idle.append(connection)
+
+    def close_idle_since(self, limit_s: float) -> None:
+        """Close the connections that became idle before `limit_s`, on the event loop's clock."""
+        while self._idle and self._idle[0].idle_since < limit_s:
+            self._idle.pop(0).abort()
+
     def add_removal_callback(self, callback: Callable[[], None]) -> None:
         """Have `callback` called when the endpoint is removed; used by attempts that are connecting."""
         self._removal_callbacks.add(callback)
@@ -39,11 +75,12 @@
         """Cancel `add_removal_callback`; no effect without it."""
         self._removal_callbacks.discard(callback)
 
-    def close(self) -> None:
+    def remove(self) -> None:
         """Close the idle connections and withdraw the attempts that are connecting."""
-        for connection in self.idle:
+        self.removed = True
+        for connection in self._idle:
             connection.abort()
-        self.idle.clear()
+        self._idle.clear()
         for callback in list(self._removal_callbacks):
             callback()
 
@@ -85,7 +122,7 @@
         # endpoint's grace period, so it is withdrawn at once.
         endpoint = self._endpoints.pop(name, None)
         if endpoint is not None:
-            endpoint.close()
+            endpoint.remove()
 
     def get(self, name: str) -> EndpointConnections | None:
         """The connections of this endpoint, None if it is not in the pool."""
@@ -102,28 +139,14 @@
 
     def acquire_idle(self, endpoint: EndpointConnections) -> ClientConnection | None:
         """Take a usable idle connection out of the pool; None if there is none."""
-        now_s = asyncio.get_running_loop().time()
-        # Guard: a faulty endpoint can send a second response 1 to 4 ms after the first. On a connection that
-        # already carries the next request it would be served to that request. A connection is therefore not
-        # reused for `REUSE_DELAY_S` after its response. Trade-off: requests that come closer together than
-        # that need a new connection.
-        for index in reversed(range(len(endpoint.idle))):
-            connection = endpoint.idle[index]
-            if now_s - connection.idle_since < REUSE_DELAY_S:
-                continue
-            del endpoint.idle[index]
-            if now_s - connection.idle_since < self._idle_timeout_s and connection.reusable:
-                return connection
-            connection.abort()
-        return None
+        return endpoint.take_idle(asyncio.get_running_loop().time(), self._idle_timeout_s)
 
     def release(self, endpoint: EndpointConnections, connection: ClientConnection) -> None:
         """Return a connection after its response; it is closed if no other request can use it."""
-        if not connection.reusable or endpoint not in self._endpoints.values():
+        if endpoint.removed or not connection.reusable:
             connection.abort()
             return
-        connection.idle_since = asyncio.get_running_loop().time()
-        endpoint.idle.append(connection)
+        endpoint.add_idle(connection, asyncio.get_running_loop().time())
         if self._sweep_timer is None:
             self._schedule_sweep()
 
@@ -135,7 +158,7 @@
         if not with_idle:
             return False
         endpoint = min(with_idle, key=lambda endpoint: endpoint.idle[0].idle_since)
-        connection = endpoint.idle.pop(0)
+        connection = endpoint.take_longest_idle()
         self._open.discard(connection)
         connection.abort()
         return True
@@ -167,7 +190,6 @@
         self._sweep_timer = None
         idle_since_limit_s = asyncio.get_running_loop().time() - self._idle_timeout_s
         for endpoint in self._endpoints.values():
-            while endpoint.idle and endpoint.idle[0].idle_since < idle_since_limit_s:
-                endpoint.idle.pop(0).abort()
+            endpoint.close_idle_since(idle_since_limit_s)
         if any(endpoint.idle for endpoint in self._endpoints.values()):
             self._schedule_sweep()
