--- /dev/null
+++ b/benchmarks/models/chain.py
@@ -0,0 +1,76 @@
+"""Tiers in a chain, in model time: each is a fleet of its own, and all share one event queue.
+
+A request at a tier takes its backend's own work, then one request to the tier below; a rejection or failure
+there is an error here. A backend that waits for the tier below occupies no core, and propagates its caller's
+deadline. Backends send no load reports: attempts that wait for the tiers below would count as load.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from benchmarks.models.chain_scenario import ChainScenario
+from benchmarks.models.chain_tier import TierSimulation
+from benchmarks.models.event_queue import EventQueue
+from benchmarks.models.fleet_entities import FinalOutcome
+from benchmarks.models.fleet_metrics import fraction_served_in_time
+
+DRAIN_MS = 5000.0  # after the last client
+SEEDS_PER_CHAIN = 1000
+
+
+@dataclass(frozen=True)
+class ChainMetrics:
+    """The counts of one run, per client of the top tier."""
+
+    clients: int
+    attempts_by_tier: list[float]  # a client, the top tier first
+    served_fraction: float  # within the class's latency objective
+    rejected_fraction: float  # by the top tier
+    late_fraction: float  # of all attempts: those whose backend finished its work after the deadline
+    shed_by_tier: list[float]  # fraction of its requests that a tier's nodes finished without an attempt
+
+
+class ChainSimulation:
+    """The tiers of a chain; clients send their requests to the top one."""
+
+    def __init__(self, scenario: ChainScenario, seed: int) -> None:
+        self.scenario = scenario
+        self.queue = EventQueue()
+        self.tiers: list[TierSimulation] = []  # the top tier first
+        below: TierSimulation | None = None
+        for number in reversed(range(scenario.depth)):
+            below = TierSimulation(
+                scenario.tier_scenario(number),
+                SEEDS_PER_CHAIN * seed + number,
+                self.queue,
+                below=below,
+                fault=scenario.fault,
+            )
+            self.tiers.insert(0, below)
+
+    def run(self) -> ChainMetrics:
+        """Run the scenario to its end, and until the last requests have had time to finish."""
+        self.queue.run_until(self.scenario.seconds * 1000.0 + DRAIN_MS)
+        return self._metrics()
+
+    def _metrics(self) -> ChainMetrics:
+        clients = [client for client in self.tiers[0].clients.all if client.counted]
+        rejected = sum(client.last_outcome is FinalOutcome.REJECTED for client in clients)
+        attempts = [tier.nodes.counted_attempts for tier in self.tiers]
+        late_attempts = sum(tier.backends.late_attempts for tier in self.tiers)
+        return ChainMetrics(
+            clients=len(clients),
+            attempts_by_tier=[tier_attempts / len(clients) for tier_attempts in attempts],
+            served_fraction=fraction_served_in_time(clients),
+            rejected_fraction=rejected / len(clients),
+            late_fraction=late_attempts / max(1, sum(attempts)),
+            shed_by_tier=[
+                tier.clients.shed_requests / max(1, tier.clients.counted_requests) for tier in self.tiers
+            ],
+        )
+
+
+def simulate_chain(scenario: ChainScenario, seed: int) -> ChainMetrics:
+    """Run a chain of tiers; the same seed gives the same metrics."""
+    return ChainSimulation(scenario, seed).run()
