--- a/benchmarks/call_profile/__main__.py
+++ b/benchmarks/call_profile/__main__.py
@@ -26,8 +26,7 @@
     node_setup,
     stop_garbage_collection,
 )
-from benchmarks.support.nodes import START_TIMEOUT_S
-from benchmarks.support.open_loop import MICROSECONDS_PER_S, MicrosecondEventLoop
+from benchmarks.support.open_loop import MICROSECONDS_PER_S, run_with_exact_timers
 from benchmarks.support.options import (
     make_plan,
     out_option,
@@ -37,6 +36,7 @@
     sizes_option,
 )
 from benchmarks.support.processes import cpu_seconds
+from benchmarks.support.proxy_process import START_TIMEOUT_S
 from benchmarks.support.regression import MIN_SLOPE_SIZES, Slope, linear_regression
 from benchmarks.support.report import format_table, write_results
 
@@ -205,8 +205,7 @@
     plan = replace(plan, sizes=tuple(sorted(plan.sizes)))
     if quick:
         plan = replace(plan, seconds=1.0, rounds=1)
-    with asyncio.Runner(loop_factory=MicrosecondEventLoop) as runner:
-        runner.run(measure(plan, out))
+    run_with_exact_timers(measure(plan, out))
 
 
 if __name__ == "__main__":
--- a/benchmarks/control/__main__.py
+++ b/benchmarks/control/__main__.py
@@ -6,7 +6,6 @@
 
 from __future__ import annotations
 
-import asyncio
 import gc
 import statistics
 import tempfile
@@ -26,7 +25,7 @@
     run_rounds,
 )
 from benchmarks.control.report import ControlResults, rate_records, report
-from benchmarks.support.open_loop import MicrosecondEventLoop
+from benchmarks.support.open_loop import run_with_exact_timers
 from benchmarks.support.options import make_plan, out_option, quick_option, seed_option, sizes_option
 
 
@@ -79,8 +78,7 @@
     plan = replace(plan, sizes=tuple(sorted(plan.sizes)))
     if quick:
         plan = replace(plan, seconds=0.5, rounds=1, repeats=1)
-    with asyncio.Runner(loop_factory=MicrosecondEventLoop) as runner:
-        runner.run(measure(plan, out))
+    run_with_exact_timers(measure(plan, out))
 
 
 if __name__ == "__main__":
--- a/benchmarks/control/measurement.py
+++ b/benchmarks/control/measurement.py
@@ -16,9 +16,9 @@
 
 from benchmarks.support.list_server import UNUSED_ADDRESS, ListServer
 from benchmarks.support.membership import READY, Churn, EndpointEntry, Membership, make_entries
-from benchmarks.support.nodes import ProxyProcess, proxy_configuration
 from benchmarks.support.open_loop import MICROSECONDS_PER_S
 from benchmarks.support.processes import cpu_seconds, resident_mib, run_queue_seconds
+from benchmarks.support.proxy_process import ProxyProcess, proxy_configuration
 from benchmarks.support.regression import standard_error
 
 SETTLE_S = 0.3  # after a change is in force, in which what follows from it is still counted
--- a/benchmarks/data_path/__main__.py
+++ b/benchmarks/data_path/__main__.py
@@ -7,7 +7,6 @@
 
 from __future__ import annotations
 
-import asyncio
 from dataclasses import replace
 from pathlib import Path
 
@@ -16,7 +15,7 @@
 from benchmarks.data_path.measurement import DIRECT_BACKENDS, DataPathBench, Plan
 from benchmarks.data_path.report import report
 from benchmarks.support.node_setup import node_setup, stop_garbage_collection
-from benchmarks.support.open_loop import MicrosecondEventLoop
+from benchmarks.support.open_loop import run_with_exact_timers
 from benchmarks.support.options import (
     make_plan,
     out_option,
@@ -70,8 +69,7 @@
         plan = replace(plan, seconds=0.5, rounds=1, idle_s=0.5)
     if quick or no_limit:
         plan = replace(plan, limit_s=0.0)
-    with asyncio.Runner(loop_factory=MicrosecondEventLoop) as runner:
-        runner.run(measure(plan, out))
+    run_with_exact_timers(measure(plan, out))
 
 
 if __name__ == "__main__":
--- a/benchmarks/data_path/measurement.py
+++ b/benchmarks/data_path/measurement.py
@@ -15,9 +15,9 @@
 from typing import Any
 
 from benchmarks.support.node_setup import DEFAULT_LIST_SIZES, ORDINARY_RATE, WARM_UP_S, NodeSetup
-from benchmarks.support.nodes import DEPLOYED_SOCKETS
 from benchmarks.support.open_loop import MICROSECONDS_PER_S, Address, LoadResult, histogram
 from benchmarks.support.processes import cpu_seconds, resident_mib, run_queue_seconds
+from benchmarks.support.proxy_process import DEPLOYED_SOCKETS
 
 DIRECT_BACKENDS = 13  # that direct requests go to
 SUSTAINED_LATENCY_US = 100_000.0  # a rate is sustained if enough requests are answered 200 within this time
--- a/benchmarks/hollow/servers_under_test.py
+++ b/benchmarks/hollow/servers_under_test.py
@@ -16,6 +16,8 @@
 from benchmarks.hollow.plain_server import ChangeWritten, PlainList, PlainServerReady
 from benchmarks.hollow.service_lists import ListChanges, ServiceLists
 from benchmarks.support.free_ports import free_ports
+from benchmarks.support.health_check import responds_ok
+from benchmarks.support.list_server import LIST_PATH
 from benchmarks.support.processes import ChildProcess
 
 READY_TIMEOUT_S = 60.0  # for a list to be served after a start
@@ -28,7 +30,6 @@
 MAX_CONNECTIONS = 10_000  # of a discovery server
 MAX_WATCHES = 10_000
 PROBLEM_LEVELS = ("warning", "error")
-LIST_REQUEST = b"GET /discovery/hosts HTTP/1.1\r\nHost: directory\r\nConnection: close\r\n\r\n"
 
 
 class ListNotServedError(TimeoutError):
@@ -246,11 +247,7 @@
     deadline = time.monotonic() + READY_TIMEOUT_S
     while time.monotonic() < deadline:
         with contextlib.suppress(OSError):
-            reader, writer = await asyncio.open_connection("127.0.0.1", port)
-            writer.write(LIST_REQUEST)
-            status_line = await reader.readline()
-            writer.close()
-            if b" 200 " in status_line:
+            if await responds_ok(("127.0.0.1", port), LIST_PATH):
                 return
         await asyncio.sleep(READY_POLL_S)
     raise ListNotServedError(port)
--- a/benchmarks/support/backends.py
+++ b/benchmarks/support/backends.py
@@ -1,6 +1,6 @@
-"""Stand-in backends: one process that answers at many endpoints, and serves lists of the first N of them.
+"""Stand-in backends: one process that responds at many endpoints, and serves lists of the first N of them.
 
-It takes messages on standard input: `StartBackends` first, then any number of `CountersRequest`.
+Standard input takes `StartBackends` first, then any number of `CountersRequest`.
 """
 
 from __future__ import annotations
@@ -15,18 +15,19 @@
 from benchmarks.support.list_server import ListServer
 from benchmarks.support.membership import Membership, make_entries
 from benchmarks.support.processes import ChildProcess
+from benchmarks.support.transports import require_stream_transport
 
 RESPONSE_BODY = b"x" * 128
 RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(RESPONSE_BODY), RESPONSE_BODY)
 ADDRESSES_PER_SUBNET = 250  # used of each 127.1.x.0/24
-ANSWER_TIMEOUT_S = 30.0  # of the process of backends, on a busy machine
+MESSAGE_TIMEOUT_S = 30.0  # within which the process replies to a message, on a busy machine
 
 
 class StartBackends(msgspec.Struct):
-    """What a process of backends is to serve."""
+    """The first message: the endpoints and lists to serve. Its reply is `BackendsStarted`."""
 
     endpoints: int
-    list_sizes: list[int]  # each list is served by a list server of its own
+    list_sizes: list[int]  # each list has its own list server
     service_ms: float  # from a request's last byte to its response
     seed: int
 
@@ -39,19 +40,19 @@
 
 
 class CountersRequest(msgspec.Struct):
-    """Requests the counters."""
+    """Requests the counters. Its reply is `BackendCounters`."""
 
 
 class BackendCounters(msgspec.Struct):
-    """What all backends together have seen."""
+    """Counters of all backends together, since the start."""
 
     accepted: int = 0  # connections
-    closed: int = 0
-    answered: int = 0  # requests
+    closed: int = 0  # connections
+    responses: int = 0
 
 
 class BackendsProcess:
-    """The parent's side: a process of backends."""
+    """The parent's side of a process of backends."""
 
     def __init__(self, process: ChildProcess, started: BackendsStarted) -> None:
         self._process = process
@@ -63,11 +64,11 @@
         """Start the process and its backends.
 
         Raises:
-            TimeoutError: It does not serve after `ANSWER_TIMEOUT_S`; it has been ended then.
+            TimeoutError: It does not serve after `MESSAGE_TIMEOUT_S`; it is ended.
         """
         process = await ChildProcess.start("benchmarks.support.backends")
         try:
-            async with asyncio.timeout(ANSWER_TIMEOUT_S):
+            async with asyncio.timeout(MESSAGE_TIMEOUT_S):
                 return cls(process, await process.request(request, BackendsStarted))
         except BaseException:
             await process.terminate()
@@ -75,7 +76,7 @@
 
     async def accepted_connections(self) -> int:
         """Return how many connections the backends have accepted since the start."""
-        async with asyncio.timeout(ANSWER_TIMEOUT_S):
+        async with asyncio.timeout(MESSAGE_TIMEOUT_S):
             counters = await self._process.request(CountersRequest(), BackendCounters)
         return counters.accepted
 
@@ -85,7 +86,7 @@
 
 
 class _BackendConnection(asyncio.Protocol):
-    """Answers 200 to every request."""
+    """Responds 200 to every request."""
 
     def __init__(self, counters: BackendCounters, service_s: float) -> None:
         self._counters = counters
@@ -95,9 +96,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Count the connection."""
-        if not isinstance(transport, asyncio.Transport):
-            raise TypeError(f"a backend needs a stream transport, not {type(transport).__name__}")
-        self._transport = transport
+        self._transport = require_stream_transport(transport)
         self._counters.accepted += 1
 
     def connection_lost(self, _exc: Exception | None) -> None:
@@ -107,7 +106,7 @@
         del self._parser  # it refers to this object
 
     def data_received(self, data: bytes) -> None:
-        """Parse; what is not HTTP ends the connection."""
+        """Parse the data; anything but HTTP ends the connection."""
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
@@ -123,12 +122,12 @@
 
     def _respond(self) -> None:
         if self._transport is not None:
-            self._counters.answered += 1
+            self._counters.responses += 1
             self._transport.write(RESPONSE)
 
 
 async def open_endpoints(count: int, service_ms: float, counters: BackendCounters) -> list[str]:
-    """Listen on so many loopback addresses; return host and port of each."""
+    """Listen on `count` loopback addresses; return host and port of each."""
     loop = asyncio.get_running_loop()
     endpoints = []
     for index in range(count):
--- a/benchmarks/support/child_streams.py
+++ b/benchmarks/support/child_streams.py
@@ -1,4 +1,4 @@
-"""The child's side of the pipes between a benchmark and its child processes: a JSON message a line."""
+"""The child's side of the pipes between a benchmark and its child processes: one JSON message a line."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 async def open_standard_input() -> asyncio.StreamReader:
-    """Return this process's standard input as a stream, to be read while other tasks run."""
+    """Return this process's standard input as a stream that can be read while other tasks run."""
     reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     await asyncio.get_running_loop().connect_read_pipe(
         lambda: asyncio.StreamReaderProtocol(reader), sys.stdin.buffer
@@ -28,13 +28,13 @@
     """Return the next line as a message, or None once the input has ended.
 
     Raises:
-        msgspec.DecodeError: The line is not JSON, or not a message of the decoder's type.
+        msgspec.DecodeError: The line is no JSON, or a message of another type.
     """
     line = await reader.readline()
     return decoder.decode(line) if line else None
 
 
 def write_message(message: object) -> None:
-    """Write a message to standard output as one line of JSON, at once."""
+    """Write a message to standard output as one line of JSON, and flush it."""
     sys.stdout.buffer.write(msgspec.json.encode(message) + b"\n")
     sys.stdout.flush()
--- a/benchmarks/support/free_ports.py
+++ b/benchmarks/support/free_ports.py
@@ -13,7 +13,7 @@
 
 
 class InsufficientPortsError(OSError):
-    """Fewer ports are free than were requested."""
+    """Fewer ports are free than requested."""
 
     def __init__(self, requested: int, free: int) -> None:
         super().__init__(f"{requested} ports are requested and {free} are free")
@@ -22,17 +22,18 @@
 
 
 def first_outgoing_port() -> int:
-    """Return the first of the ports that this machine gives to outgoing connections."""
+    """Return the first port of the range that the machine uses for outgoing connections."""
     return int(OUTGOING_PORT_RANGE.read_text().split()[0])
 
 
 def free_ports(count: int) -> list[int]:
-    """Return different loopback ports that were free just now and that no outgoing connection gets.
+    """Return different free loopback ports outside the range of outgoing connections.
 
-    While a server is down, the nodes that try to reach it could else be given its port themselves.
+    Guard: while a server is down, a node that tries to reach it could get the server's port as its own
+    outgoing port, and block the restart. Ports below the range of outgoing connections prevent this.
 
     Raises:
-        InsufficientPortsError: There are not so many.
+        InsufficientPortsError: Fewer ports are free.
     """
     candidates = list(range(LOWEST_PORT, first_outgoing_port()))
     Random(time.monotonic_ns()).shuffle(candidates)
--- a/benchmarks/support/list_server.py
+++ b/benchmarks/support/list_server.py
@@ -11,24 +11,25 @@
 import msgspec
 
 from benchmarks.support.membership import EndpointEntry, Membership
+from benchmarks.support.transports import require_stream_transport
 
 MAX_WAIT_MS = 60_000  # of a watch without a change
 LISTEN_BACKLOG = 4096
 LIST_PATH = "/discovery/hosts"
 RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n"
 NOT_FOUND_RESPONSE = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
-UNUSED_ADDRESS = "127.0.0.1:9"  # of endpoints that nobody calls
+UNUSED_ADDRESS = "127.0.0.1:9"  # of endpoints that get no requests
 
 
 class ListServerStatistics(msgspec.Struct):
-    """Counters since the start, and the connections at present."""
+    """Counters since the start, and the current connections."""
 
     revision: int
     entries: int
     connections: int
-    waiting: int
-    accepted: int
-    answers: int
+    waiting: int  # watches
+    accepted: int  # connections since the start
+    responses: int = msgspec.field(name="answers")
     bytes_in: int
     bytes_out: int
     cpu_s: float  # processor time
@@ -48,9 +49,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register with the server."""
-        if not isinstance(transport, asyncio.Transport):
-            raise TypeError(f"a watch needs a stream transport, not {type(transport).__name__}")
-        self._transport = transport
+        self._transport = require_stream_transport(transport)
         self._server.accepted += 1
         self._server.connections.add(self)
 
@@ -62,7 +61,7 @@
         del self._parser  # it refers to this object
 
     def data_received(self, data: bytes) -> None:
-        """Parse; a request that is not HTTP, or has no number where one belongs, ends the connection."""
+        """Parse the data; bytes that are not HTTP, or an invalid number in the query, end the connection."""
         self._server.bytes_in += len(data)
         try:
             self._parser.feed_data(data)
@@ -78,7 +77,7 @@
         self._target += url
 
     def on_message_complete(self) -> None:
-        """Parser callback: respond, at once or when there is a change."""
+        """Parser callback: respond at once, or when the list changes."""
         target = urlsplit(self._target.decode("ascii"))
         query = parse_qs(target.query)
         if target.path != LIST_PATH:
@@ -95,11 +94,11 @@
         self._wait_timer = asyncio.get_running_loop().call_later(wait_ms / 1000.0, self.respond)
 
     def respond(self) -> None:
-        """Send what has changed since the watch's revision."""
+        """Send the changes since the watch's revision."""
         self._stop_waiting()
         body = self._server.membership.watch_response(self._since)
         self._write(RESPONSE_HEAD % len(body) + body)
-        self._server.answers += 1
+        self._server.responses += 1
 
     def close(self) -> None:
         """End the connection at once."""
@@ -122,9 +121,9 @@
 class ListServer:
     """Serves a membership to watches.
 
-    A watch polls with a revision once it has put that in force, so `on_poll`, which gets the revision of each
-    poll, also shows when a change is in force. `bytes_in` and `bytes_out` count what HTTP carries, without
-    the headers of TCP and IP.
+    A watch polls with a revision once the revision is in force at its node, so `on_poll`, which gets the
+    revision of each poll, also shows when a change is in force. `bytes_in` and `bytes_out` count the bytes of
+    HTTP, without the headers of TCP and IP.
     """
 
     def __init__(self, membership: Membership) -> None:
@@ -133,7 +132,7 @@
         self.connections: set[_WatchConnection] = set()
         self.waiting: set[_WatchConnection] = set()
         self.accepted = 0
-        self.answers = 0
+        self.responses = 0
         self.bytes_in = 0
         self.bytes_out = 0
         self._listener: asyncio.Server | None = None
@@ -148,7 +147,7 @@
         return f"{host}:{port}"
 
     def change(self, changed: Sequence[EndpointEntry], *, compact: bool = False) -> int:
-        """Put changed entries in force and notify every waiting watch.
+        """Apply changed entries and respond to every waiting watch.
 
         Args:
             changed: The entries.
@@ -165,7 +164,7 @@
         return revision
 
     def drop_connections(self) -> None:
-        """End every connection at once, as a restart does."""
+        """End every connection at once, as a restart of the server does."""
         for connection in list(self.connections):
             connection.close()
 
@@ -177,7 +176,7 @@
             connections=len(self.connections),
             waiting=len(self.waiting),
             accepted=self.accepted,
-            answers=self.answers,
+            responses=self.responses,
             bytes_in=self.bytes_in,
             bytes_out=self.bytes_out,
             cpu_s=time.process_time(),
--- a/benchmarks/support/membership.py
+++ b/benchmarks/support/membership.py
@@ -31,14 +31,14 @@
     pod_group: int
     state: str
     capacity_hint: float
-    boot_ms: int  # Unix time of its start; 0 where it is not known
+    boot_ms: int  # Unix time of its start; 0: unknown
 
 
 class EndpointListMessage(msgspec.Struct):
-    """An endpoint list, or changes of one, with the keys of the discovery protocol."""
+    """An endpoint list, or a delta of one, with the keys of the discovery protocol."""
 
     rev: int
-    all: bool  # whether the list is complete; else these are the changes
+    all: bool  # whether the list is complete; else it is a delta
     targets: list[EndpointEntry]
 
 
@@ -63,7 +63,7 @@
 class Membership:
     """An endpoint list, its revision and a bounded log of its changes.
 
-    Every watch response is encoded once for all watches that wait since the same revision.
+    Each watch response is encoded once for all watches with the same revision.
     """
 
     def __init__(
@@ -76,12 +76,12 @@
         self.entries = {entry["uid"]: entry for entry in entries}
         self._change_log: deque[tuple[int, EndpointEntry]] = deque()  # revision and entry, oldest first
         self._max_logged_changes = max_logged_changes
-        self._oldest_known_revision = revision  # the log has all changes since this one
-        # At this revision: by the revision that a watch has, None for a complete list.
+        self._oldest_known_revision = revision  # the log holds all changes since this one
+        # At the current revision: by the watch's revision, None for a complete list.
         self._encoded_responses: dict[int | None, bytes] = {}
 
     def apply(self, changed: Sequence[EndpointEntry]) -> int:
-        """Put changed entries in force in one revision, those in state `REMOVED` out of the list.
+        """Apply changed entries in one revision; entries in state `REMOVED` leave the list.
 
         Returns:
             The new revision.
@@ -105,10 +105,10 @@
         self._oldest_known_revision = self.revision
 
     def watch_response(self, since: int | None) -> bytes:
-        """Return the body of the response to a watch: what has changed, else the complete list.
+        """Return the body of the response to a watch: the changes, or else the complete list.
 
         Args:
-            since: The revision that the watch has; None: it needs the complete list.
+            since: The watch's revision; None: the watch needs the complete list.
         """
         if since is not None and not self._oldest_known_revision <= since <= self.revision:
             since = None
@@ -118,11 +118,11 @@
         return self._encoded_responses[since]
 
     def complete_list(self) -> EndpointListMessage:
-        """Return the list as it is now."""
+        """Return the current list."""
         return EndpointListMessage(rev=self.revision, all=True, targets=list(self.entries.values()))
 
     def forget_encoded_responses(self) -> None:
-        """Have the next watch response encoded anew."""
+        """Discard the cached encodings, so that the next watch response is encoded again."""
         self._encoded_responses.clear()
 
     def _changes_since(self, since: int) -> EndpointListMessage:
@@ -135,18 +135,18 @@
 
 
 class Churn:
-    """Draws changes of a membership from a seed: endpoints that drain and come back restarted, and losses."""
+    """Draws changes of a membership from a seed: endpoints that drain and restart, and losses."""
 
     def __init__(self, membership: Membership, seed: int = 7) -> None:
         self._membership = membership
         self._rng = Random(seed)
 
     def next_changes(self, count: int, now_ms: int) -> list[EndpointEntry]:
-        """Return changed entries: a ready one drains, a draining one is ready again.
+        """Return changed entries: a ready endpoint drains, a draining one is ready again.
 
         Args:
-            count: Entries; no more than the list has.
-            now_ms: Unix time, at which an endpoint that is ready again was started.
+            count: Entries; at most all of the list.
+            now_ms: Unix time: the start time of an endpoint that is ready again.
         """
         return [
             entry | {"state": TERMINATING}
@@ -156,7 +156,7 @@
         ]
 
     def next_losses(self, count: int) -> list[EndpointEntry]:
-        """Return so many entries that are removed at once."""
+        """Return `count` entries that are removed at once."""
         return [entry | {"state": REMOVED} for entry in self._sample(count)]
 
     def _sample(self, count: int) -> list[EndpointEntry]:
--- a/benchmarks/support/node_setup.py
+++ b/benchmarks/support/node_setup.py
@@ -1,4 +1,4 @@
-"""What benches of complete nodes start: backends, a proxy for each size of list, and a client."""
+"""The environment of benchmarks of complete nodes: backends, a proxy for each list size, and a client."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 from benchmarks.support.backends import BackendsProcess, StartBackends
 from benchmarks.support.membership import Membership, make_entries
-from benchmarks.support.nodes import DEPLOYED_SOCKETS, PROXY_MODULE, ProxyProcess, proxy_configuration
 from benchmarks.support.open_loop import Address, OpenLoopClient
+from benchmarks.support.proxy_process import DEPLOYED_SOCKETS, PROXY_MODULE, ProxyProcess, proxy_configuration
 
 DEFAULT_LIST_SIZES = (13, 100, 400, 1000)
-ORDINARY_RATE = 170.0  # requests a second: a node's ordinary load, at which lists are compared
-WARM_UP_S = 1.0  # of requests to each node and backend that are not counted
+ORDINARY_RATE = 170.0  # requests a second: a node's ordinary load, at which list sizes are compared
+WARM_UP_S = 1.0  # of uncounted requests to each node and backend
 
 
 class NodeSetup:
@@ -43,7 +43,7 @@
             size: Endpoints in the list.
             list_server: Host and port of the server of that list.
             sockets: File descriptors that the proxy may hold.
-            module: The module that is run as the proxy.
+            module: The module that runs as the proxy.
             environment: Variables added to this process's own.
         """
         name = f"n{size}"
@@ -72,12 +72,12 @@
 async def node_setup(
     list_sizes: Sequence[int], *, min_endpoints: int = 0, service_ms: float, seed: int
 ) -> AsyncIterator[NodeSetup]:
-    """Start backends with a list server for each size, and end all that runs in the end.
+    """Start backends with a list server for each size; end all processes on exit.
 
     Args:
         list_sizes: The sizes of the lists.
-        min_endpoints: Backends that there are at least, whatever the lists need.
-        service_ms: A backend's time for a request.
+        min_endpoints: The minimum number of backends, whatever the lists need.
+        service_ms: A backend's service time of a request.
         seed: Of the lists' entries and the client's requests.
     """
     endpoints = max(*list_sizes, min_endpoints)
@@ -91,7 +91,7 @@
 
 
 def stop_garbage_collection() -> None:
-    """Keep the client's own collection pauses out of the node's latencies, for the rest of the process."""
+    """Disable garbage collection in this process, so that its pauses don't appear in the node's latencies."""
     gc.collect()
     gc.freeze()
     gc.disable()
--- a/benchmarks/support/open_loop.py
+++ b/benchmarks/support/open_loop.py
@@ -1,8 +1,8 @@
-"""An open-loop client: requests at a constant rate, each latency counted from the time it was due.
+"""An open-loop client: requests at a constant rate, each latency counted from the request's due time.
 
-What a stalled server delays shows in the latencies of all requests that were due meanwhile (no coordinated
-omission): requests that find no connection wait with their clock running, and a request without a response
-counts with all the time it had.
+A stall of the server shows in the latencies of all requests that are due meanwhile (no coordinated omission).
+A request that finds no connection waits with its clock running, and a request without a response counts with
+all the time it had.
 """
 
 from __future__ import annotations
@@ -10,21 +10,24 @@
 import asyncio
 import selectors
 from collections import Counter, deque
-from collections.abc import Sequence
+from collections.abc import Coroutine, Sequence
 from dataclasses import dataclass, field
 from random import Random
+from typing import Any
 
 import httptools
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-Address = tuple[str, int]  # host and port, as asyncio takes and gives them
+from benchmarks.support.transports import require_stream_transport
+
+Address = tuple[str, int]  # host and port, as asyncio's functions take and return them
 
 MAX_CONNECTIONS = 256  # open at once; further requests wait for one
-DRAIN_TIMEOUT_S = 4.5  # after the last request was due, in which responses are waited for
-FIRST_REQUEST_DELAY_S = 0.01  # from the drawing of the requests to the first one's due time
+DRAIN_TIMEOUT_S = 4.5  # from the last request's due time, for which the client waits for responses
+FIRST_REQUEST_DELAY_S = 0.01  # from the encoding of the requests to the first one's due time
 MICROSECONDS_PER_S = 1e6
 MAX_RECORDED_US = 60_000_000
-SIGNIFICANT_DIGITS = 3  # that the histograms keep
+SIGNIFICANT_DIGITS = 3  # of the histograms
 NO_RESPONSE = 0  # the status that stands for a request without a response
 
 REQUEST_MIX = {"read": 0.7, "post": 0.2, "move": 0.1}  # fraction of requests by service class
@@ -38,6 +41,12 @@
         super().__init__(selectors.SelectSelector())
 
 
+def run_with_exact_timers(benchmark: Coroutine[Any, Any, None]) -> None:
+    """Run a benchmark to its end in a `MicrosecondEventLoop`."""
+    with asyncio.Runner(loop_factory=MicrosecondEventLoop) as runner:
+        runner.run(benchmark)
+
+
 def encode_request(rng: Random) -> bytes:
     """Return one request of the mix; its class, id and idempotency key are drawn."""
     service_class = rng.choices(list(REQUEST_MIX), list(REQUEST_MIX.values()))[0]
@@ -58,7 +67,7 @@
 
 @dataclass(slots=True, eq=False)
 class _Request:
-    due: float  # when it was to be sent, by the loop's clock
+    due: float  # when it is due to be sent, by the loop's clock
     address: Address
     data: bytes
     repeats: int = 0
@@ -69,7 +78,7 @@
     """The outcome of one run of requests; latencies are in microseconds from each request's due time."""
 
     latencies_us: list[float] = field(default_factory=list)  # in the order of the responses
-    send_delays_us: list[float] = field(default_factory=list)  # by which the client was late to send
+    send_delays_us: list[float] = field(default_factory=list)  # from each request's due time to its sending
     statuses: Counter[int] = field(default_factory=Counter)
     opened: int = 0  # connections
     seconds: float = 0.0  # from the first request's due time to the last response
@@ -89,20 +98,18 @@
     def __init__(self, client: OpenLoopClient, address: Address, request: _Request) -> None:
         self.address = address
         self.request: _Request | None = request
-        self.reused = False  # whether it has answered a request before
+        self.reused = False  # whether it has carried a response before
         self._client = client
         self._parser = httptools.HttpResponseParser(self)
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send the request that the connection was opened for, unless it has been given up."""
-        if not isinstance(transport, asyncio.Transport):
-            raise TypeError(f"a client needs a stream transport, not {type(transport).__name__}")
-        self._transport = transport
+        self._transport = require_stream_transport(transport)
         if self.request is None:
-            transport.abort()
+            self._transport.abort()
         else:
-            transport.write(self.request.data)
+            self._transport.write(self.request.data)
 
     def send(self, request: _Request) -> None:
         """Send a request; the connection is open and idle."""
@@ -139,7 +146,7 @@
 
 
 class OpenLoopClient:
-    """Keeps connections alive to the addresses that it calls, and opens one more where all are busy."""
+    """Keeps connections alive to the addresses of its requests, and opens one more where all are busy."""
 
     def __init__(self, seed: int) -> None:
         self._loop = asyncio.get_running_loop()
@@ -147,23 +154,23 @@
         self._idle: dict[Address, list[_Connection]] = {}
         self._connections: set[_Connection] = set()
         self._queue: deque[_Request] = deque()  # requests that wait for a connection
-        self._unanswered: set[_Request] = set()
+        self._outstanding: set[_Request] = set()
         self._result = LoadResult()
         self._opening: set[asyncio.Task[None]] = set()
         self._request_finished = asyncio.Event()
 
     @property
     def outstanding(self) -> int:
-        """Requests that were due and have no response yet."""
-        return len(self._unanswered)
+        """Requests that are past their due time and have no response yet."""
+        return len(self._outstanding)
 
     async def run(self, addresses: Sequence[Address], rate: float, seconds: float) -> LoadResult:
         """Send requests at a constant rate, to the addresses in turn, and wait for their responses.
 
         Args:
-            addresses: Where they go.
+            addresses: Where the requests go.
             rate: Requests a second.
-            seconds: For how long; it ends `DRAIN_TIMEOUT_S` later at the latest.
+            seconds: For how long; the run ends `DRAIN_TIMEOUT_S` later at the latest.
         """
         self._result = result = LoadResult()
         count = max(1, round(rate * seconds))
@@ -171,18 +178,18 @@
         started = self._loop.time() + FIRST_REQUEST_DELAY_S
         for index, data in enumerate(requests):
             due = started + index / rate
-            # A request that is late goes at once, but the loop has to read responses in between.
+            # A late request is sent at once, but the loop has to read responses in between.
             await asyncio.sleep(max(0.0, due - self._loop.time()))
             result.send_delays_us.append((self._loop.time() - due) * MICROSECONDS_PER_S)
             request = _Request(due, addresses[index % len(addresses)], data)
-            self._unanswered.add(request)
+            self._outstanding.add(request)
             self._dispatch(request)
         await self._drain(started + count / rate + DRAIN_TIMEOUT_S)
         result.seconds = self._loop.time() - started
         return result
 
     async def _drain(self, deadline: float) -> None:
-        while self._unanswered and self._loop.time() < deadline:
+        while self._outstanding and self._loop.time() < deadline:
             self._request_finished.clear()
             try:
                 async with asyncio.timeout_at(deadline):
@@ -190,7 +197,7 @@
             except TimeoutError:
                 break
         self._queue.clear()
-        for request in list(self._unanswered):
+        for request in list(self._outstanding):
             self._finish(request, NO_RESPONSE)
         for connection in list(self._connections):
             if connection.request is not None:
@@ -213,7 +220,7 @@
             self._close_one_idle()
 
     def _close_one_idle(self) -> None:
-        """End an idle connection to another address: the request in the queue gets its place."""
+        """End an idle connection to another address; the request in the queue takes its place."""
         connection = next((idle[0] for idle in self._idle.values() if idle), None)
         if connection is not None:
             self._idle[connection.address].remove(connection)
@@ -236,12 +243,12 @@
             self.on_connection_lost(connection, request)
 
     def on_response(self, request: _Request, status: int, connection: _Connection | None) -> None:
-        """Take a response; called by connections.
+        """Record a response; called by connections.
 
         Args:
-            request: What it answers.
+            request: The request that the response ends.
             status: The response's status code.
-            connection: The connection, if it can be used again.
+            connection: The connection, if it can be reused.
         """
         self._finish(request, status)
         if connection is not None:
@@ -250,13 +257,13 @@
                 self._dispatch(self._queue.popleft())
 
     def on_connection_lost(self, connection: _Connection, request: _Request | None) -> None:
-        """Forget a connection and deal with the request that was in flight; called by connections."""
+        """Remove a connection; send its request in flight again or end it. Called by connections."""
         self._connections.discard(connection)
         idle = self._idle.get(connection.address, [])
         if connection in idle:
             idle.remove(connection)
-        if request is not None and request in self._unanswered:
-            # The server's close and the request on a reused connection may cross: it is sent once more.
+        if request is not None and request in self._outstanding:
+            # The server's close and the request on a reused connection may cross: the request is repeated.
             if connection.reused and not request.repeats:
                 request.repeats += 1
                 self._open(request)
@@ -266,8 +273,8 @@
             self._dispatch(self._queue.popleft())
 
     def _finish(self, request: _Request, status: int) -> None:
-        if request in self._unanswered:
-            self._unanswered.discard(request)
+        if request in self._outstanding:
+            self._outstanding.discard(request)
             self._result.latencies_us.append((self._loop.time() - request.due) * MICROSECONDS_PER_S)
             self._result.statuses[status] += 1
             self._request_finished.set()
--- a/benchmarks/support/options.py
+++ b/benchmarks/support/options.py
@@ -1,4 +1,4 @@
-"""Command-line options that the benches share, and plans made from options."""
+"""Command-line options that the benchmarks share, and the plans created from them."""
 
 from __future__ import annotations
 
@@ -9,36 +9,38 @@
 import click
 import msgspec
 
-from benchmarks.support.nodes import DEPLOYED_SOCKETS
+from benchmarks.support.proxy_process import DEPLOYED_SOCKETS
 
 Command = Callable[..., Any]
 Plan = TypeVar("Plan")
 
 
 def parse_numbers(text: str) -> tuple[float, ...]:
-    """Return numbers that commas separate; click makes a ValueError a usage error."""
+    """Return the numbers of a comma-separated text; click reports a ValueError as a usage error."""
     return tuple(float(word) for word in text.split(","))
 
 
 def parse_integers(text: str) -> tuple[int, ...]:
-    """Return integers that commas separate; click makes a ValueError a usage error."""
+    """Return the integers of a comma-separated text; click reports a ValueError as a usage error."""
     return tuple(int(word) for word in text.split(","))
 
 
 seed_option = click.option("--seed", default=7, show_default=True)
 quick_option = click.option(
-    "--quick", is_flag=True, help="A run of seconds, to see that it works; its figures say little."
+    "--quick",
+    is_flag=True,
+    help="A run of seconds, to see that the command works; its figures mean little.",
 )
 service_ms_option = click.option(
-    "--service-ms", default=0.0, show_default=True, help="A backend's time for a request."
+    "--service-ms", default=0.0, show_default=True, help="A backend's service time of a request."
 )
 sockets_option = click.option(
-    "--sockets", default=DEPLOYED_SOCKETS, show_default=True, help="Descriptors of a node."
+    "--sockets", default=DEPLOYED_SOCKETS, show_default=True, help="File descriptors of a node."
 )
 
 
 def sizes_option(default: str) -> Callable[[Command], Command]:
-    """Return the option `--servers`, the plan's sizes of the list."""
+    """Return the option `--servers`: the plan's list sizes."""
     return click.option(
         "--servers",
         "sizes",
@@ -61,9 +63,9 @@
 
 
 def make_plan(plan_type: type[Plan], options: dict[str, object]) -> Plan:
-    """Return a plan whose fields are these options; fields without an option keep their defaults.
+    """Return a plan with these options as its fields; fields without an option keep their defaults.
 
     Raises:
-        msgspec.ValidationError: An option does not fit its field.
+        msgspec.ValidationError: An option has the wrong type for its field.
     """
     return msgspec.convert(options, plan_type)
--- a/benchmarks/support/processes.py
+++ b/benchmarks/support/processes.py
@@ -1,4 +1,4 @@
-"""Child processes of a benchmark: starting them, exchanging messages with them, what they have used.
+"""Child processes of a benchmark: their start and end, messages to and from them, and their resource usage.
 
 A message is a line of JSON; `benchmarks.support.child_streams` is the child's side of the exchange. Resource
 usage is read from /proc.
@@ -21,26 +21,26 @@
 
 PROC = Path("/proc")
 ROOT = Path(__file__).resolve().parents[2]
-TERMINATION_TIMEOUT_S = 5.0  # for a process to end by itself before it is killed
+TERMINATION_TIMEOUT_S = 5.0  # from SIGTERM to SIGKILL
 KIB_PER_MIB = 1024.0
 NANOSECONDS_PER_S = 1e9
 STAT_USER_TIME_FIELD = 11  # in /proc/PID/stat, counted from the field after the command's name
 STAT_SYSTEM_TIME_FIELD = 12
 
-Answer = TypeVar("Answer")
+Reply = TypeVar("Reply")
 
 
 class ChildProcessEndedError(ChildProcessError):
-    """A child process has ended before it answered."""
+    """A child process ended before it replied to a message."""
 
     def __init__(self, pid: int, exit_code: int) -> None:
-        super().__init__(f"process {pid} ended with exit code {exit_code} before it answered")
+        super().__init__(f"process {pid} ended with exit code {exit_code} before it replied")
         self.pid = pid
         self.exit_code = exit_code
 
 
 class ProcessUsageError(LookupError):
-    """The kernel does not state a process's usage, as the process has ended."""
+    """The kernel states no usage of a process, because the process has ended."""
 
     def __init__(self, pid: int) -> None:
         super().__init__(f"process {pid} has no resident memory")
@@ -56,15 +56,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessUsage:
-    """What a process has used since its start."""
+    """The resource usage of a process since its start."""
 
     pid: int
     cpu_s: float  # processor time
-    resident_mib: float  # resident memory at present
+    resident_mib: float  # current resident memory
 
     @staticmethod
     def of(pid: int) -> ProcessUsage:
-        """Read the usage of a running process."""
+        """Read the resource usage of a running process."""
         return ProcessUsage(pid, cpu_seconds(pid), resident_mib(pid))
 
 
@@ -82,7 +82,10 @@
 
 
 def run_queue_seconds(pid: int) -> float:
-    """Return how long a process was runnable without a core; 0 where the kernel does not count it."""
+    """Return the time that a process was runnable without a core, in seconds.
+
+    0 where the kernel does not count it.
+    """
     try:
         return _schedstat_seconds(pid, _SchedstatField.RUNNABLE)
     except FileNotFoundError:
@@ -107,7 +110,7 @@
 
 
 async def terminate(process: asyncio.subprocess.Process) -> None:
-    """End a process with SIGTERM, and with SIGKILL if it is still there after `TERMINATION_TIMEOUT_S`."""
+    """End a process with SIGTERM, or with SIGKILL if it still runs after `TERMINATION_TIMEOUT_S`."""
     if process.returncode is not None:
         return
     with contextlib.suppress(ProcessLookupError):
@@ -120,7 +123,7 @@
 
 
 class ChildProcess:
-    """A Python module of this repository that runs as a process of its own."""
+    """A Python module of this repository that runs as a child process."""
 
     def __init__(self, process: asyncio.subprocess.Process) -> None:
         self._process = process
@@ -132,7 +135,7 @@
 
         Args:
             module_and_arguments: The module's name, then its command line.
-            log: Where its output is appended. A process with a log has no pipes and takes no messages.
+            log: The file that its output is appended to. A process with a log has no pipes for messages.
         """
         command = (sys.executable, "-m", *module_and_arguments)
         if log is None:
@@ -157,27 +160,27 @@
         self._process.stdin.write(msgspec.json.encode(message) + b"\n")
         await self._process.stdin.drain()
 
-    async def receive(self, answer_type: type[Answer]) -> Answer:
-        """Wait for the next message of the process.
+    async def receive(self, reply_type: type[Reply]) -> Reply:
+        """Return the next message of the process.
 
         Raises:
             ChildProcessEndedError: The process has ended.
-            msgspec.DecodeError: The message is not of this type.
+            msgspec.DecodeError: The message has another type.
         """
         if self._process.stdout is None:
             raise ValueError(f"process {self.pid} was started without pipes")
         line = await self._process.stdout.readline()
         if not line:
             raise ChildProcessEndedError(self.pid, await self._process.wait())
-        return msgspec.json.decode(line, type=answer_type)
+        return msgspec.json.decode(line, type=reply_type)
 
-    async def request(self, message: object, answer_type: type[Answer]) -> Answer:
-        """Send a message and wait for its answer."""
+    async def request(self, message: object, reply_type: type[Reply]) -> Reply:
+        """Send a message and return the reply to it."""
         await self.send(message)
-        return await self.receive(answer_type)
+        return await self.receive(reply_type)
 
     def usage(self) -> ProcessUsage:
-        """Read what the process has used so far."""
+        """Read the resource usage of the process so far."""
         return ProcessUsage.of(self.pid)
 
     async def kill(self) -> None:
@@ -187,5 +190,5 @@
         await self._process.wait()
 
     async def terminate(self) -> None:
-        """End the process with SIGTERM, with SIGKILL if it does not."""
+        """End the process; see `terminate`."""
         await terminate(self._process)
--- a/benchmarks/support/nodes.py
+++ b/benchmarks/support/proxy_process.py
@@ -1,4 +1,4 @@
-"""Real proxies as processes of their own: their configuration, start, readiness and end."""
+"""Real proxies as child processes: their configuration, start, readiness and end."""
 
 from __future__ import annotations
 
@@ -11,18 +11,20 @@
 
 import msgspec
 
+from benchmarks.support.health_check import responds_ok
 from benchmarks.support.membership import EndpointListMessage
 from benchmarks.support.open_loop import Address
 from benchmarks.support.processes import ROOT, terminate
 
-START_TIMEOUT_S = 30.0  # for a process to be ready, on a busy machine
+START_TIMEOUT_S = 30.0  # from a process's start until it is ready, on a busy machine
+READINESS_PATH = "/up"
 READINESS_POLL_S = 0.05
 MAX_LOG_LINES = 200
-DEPLOYED_SOCKETS = 1024  # descriptors that a node may hold where it is deployed today
+DEPLOYED_SOCKETS = 1024  # file descriptors that a node may hold in today's deployment
 PROXY_MODULE = "loadbalancer"
 LISTENING_LOG_TEXT = "proxy serving"
 
-# An ordinary deployment: several classes, latency objectives of seconds, no load reports, nothing scarce.
+# An ordinary deployment: several classes, latency objectives of seconds, no load reports, ample limits.
 PLATFORM_SETTINGS: dict[str, Any] = {
     "bounds": {
         "cancel": True,
@@ -56,10 +58,10 @@
 
     Args:
         name: The node's name.
-        discovery_address: Host and port of the list server that it watches.
-        cached_list: The complete endpoint list that it starts from.
+        discovery_address: Host and port of the list server that the proxy watches.
+        cached_list: The complete endpoint list that the proxy starts from.
         seed: Of the proxy's random source.
-        sockets: File descriptors that it may hold.
+        sockets: File descriptors that the proxy may hold.
     """
     return msgspec.json.encode(
         {
@@ -75,11 +77,11 @@
 
 
 class ProxyProcess:
-    """A real proxy in a process of its own; its last log lines are available."""
+    """A real proxy in a child process, with its last log lines."""
 
     def __init__(self, process: asyncio.subprocess.Process) -> None:
         self.pid = process.pid
-        self.address: Address = ("", 0)  # known once it listens
+        self.address: Address = ("", 0)  # set once the proxy listens
         self.log: deque[str] = deque(maxlen=MAX_LOG_LINES)
         self._process = process
         self._listening = asyncio.Event()
@@ -95,45 +97,45 @@
         module: str = PROXY_MODULE,
         environment: dict[str, str] | None = None,
     ) -> ProxyProcess:
-        """Run a proxy and wait until it is ready.
+        """Start a proxy and wait until it is ready.
 
         Args:
-            folder: Where its configuration file is written.
+            folder: Where the configuration file is written.
             name: The file's name, without its suffix.
             configuration: The file's content.
-            module: The module that is run.
+            module: The module that runs as the proxy.
             environment: Variables added to this process's own.
 
         Raises:
-            TimeoutError: It is not ready within `START_TIMEOUT_S`; it has been ended then.
+            TimeoutError: The proxy is not ready within `START_TIMEOUT_S`; it is ended.
         """
         path = folder / f"{name}.json"
         path.write_bytes(configuration)
         variables = os.environ | (environment or {}) | {"PROXY_CONFIG": str(path)}
-        process = await _run_module(module, variables)
-        proxy = cls(process)
+        proxy = cls(await _run_module(module, variables))
         try:
-            async with asyncio.timeout(START_TIMEOUT_S):
-                await proxy._wait_until_ready()
+            await proxy.wait_until_ready()
         except BaseException:
             await proxy.stop()
             raise
         return proxy
 
-    async def _wait_until_ready(self) -> None:
-        await self._listening.wait()
-        while True:
-            if await self.is_ready():
-                return
-            await asyncio.sleep(READINESS_POLL_S)
+    async def wait_until_ready(self) -> None:
+        """Wait until the proxy's readiness endpoint responds 200.
+
+        Raises:
+            TimeoutError: It does not within `START_TIMEOUT_S`.
+        """
+        async with asyncio.timeout(START_TIMEOUT_S):
+            await self._listening.wait()
+            while True:
+                if await self.is_ready():
+                    return
+                await asyncio.sleep(READINESS_POLL_S)
 
     async def is_ready(self) -> bool:
-        """Return whether its readiness endpoint says that it can serve."""
-        reader, writer = await asyncio.open_connection(*self.address)
-        writer.write(b"GET /up HTTP/1.1\r\nHost: node\r\nConnection: close\r\n\r\n")
-        status_line = await reader.readline()
-        writer.close()
-        return b" 200 " in status_line
+        """Return whether the readiness endpoint states that the proxy can serve."""
+        return await responds_ok(self.address, READINESS_PATH)
 
     async def stop(self) -> None:
         """End the process and read the rest of its log."""
