--- a/benchmarks/hollow/change_deliveries.py
+++ b/benchmarks/hollow/change_deliveries.py
@@ -1,27 +1,41 @@
-"""How changes of a list reach the watches: counts, and times from their writing at the source."""
+"""The delivery of list changes to the watches: counts, and times from a change's writing at the source."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
+import msgspec
 import numpy as np
 
 from benchmarks.hollow.messages import ChangeDelivery
+from benchmarks.support.records import Record
 
 MILLISECONDS_PER_S = 1000.0
 
 
+class DeliveryFigures(Record, frozen=True, kw_only=True):
+    """Quantiles in milliseconds, and counts; None: nothing was delivered."""
+
+    p50_ms: float | None
+    p99_ms: float | None
+    last_ms: float | None
+    read_last_ms: float | None
+    due: int
+    missed: int
+    repeated: int = msgspec.field(name="again")
+
+
 @dataclass(slots=True)
 class ChangeDeliveries:
     """The deliveries of several changes; times are in seconds from a change's writing."""
 
     due: int = 0  # deliveries, one for each change and watch of its lists
     delivered: int = 0
-    repeated: int = 0  # times that a watch got a change once more as a change
-    times_s: list[float] = field(default_factory=list)  # of each delivery, until the node had it parsed
+    repeated: int = 0  # times that a watch received a change again as a delta
+    times_s: list[float] = field(default_factory=list)  # of each delivery, until the node had parsed it
     read_times_s: list[float] = field(default_factory=list)  # of each delivery, until its bytes were read
-    last_times_s: list[float] = field(default_factory=list)  # of each change that reached all, the last one
+    last_times_s: list[float] = field(default_factory=list)  # of each change that reached all: its last one
 
     def add_change(self, written_at_s: float, parts: Sequence[ChangeDelivery]) -> None:
         """Add one change.
@@ -50,17 +64,17 @@
         self.read_times_s += other.read_times_s
         self.last_times_s += other.last_times_s
 
-    def record(self) -> dict[str, float | None]:
-        """Return quantiles in milliseconds and counts under the names of the result file."""
-        return {
-            "p50_ms": _quantile_ms(self.times_s, 0.5),
-            "p99_ms": _quantile_ms(self.times_s, 0.99),
-            "last_ms": _quantile_ms(self.last_times_s, 1.0),
-            "read_last_ms": _quantile_ms(self.read_times_s, 1.0),
-            "due": self.due,
-            "missed": self.due - self.delivered,
-            "again": self.repeated,
-        }
+    def figures(self) -> DeliveryFigures:
+        """Return quantiles and counts."""
+        return DeliveryFigures(
+            p50_ms=_quantile_ms(self.times_s, 0.5),
+            p99_ms=_quantile_ms(self.times_s, 0.99),
+            last_ms=_quantile_ms(self.last_times_s, 1.0),
+            read_last_ms=_quantile_ms(self.read_times_s, 1.0),
+            due=self.due,
+            missed=self.due - self.delivered,
+            repeated=self.repeated,
+        )
 
 
 def _quantile_ms(times_s: Sequence[float], fraction: float) -> float | None:
--- a/benchmarks/hollow/nodes.py
+++ b/benchmarks/hollow/nodes.py
@@ -1,7 +1,7 @@
 """Hollow nodes: the real watches of many nodes in one process, without the data path.
 
-`python -m benchmarks.hollow.nodes` takes the messages of `benchmarks.hollow.messages` on standard input:
-`StartNodes` first, then changes to expect and requests for counters.
+`python -m benchmarks.hollow.nodes` reads the messages of `benchmarks.hollow.messages` from standard input:
+`StartNodes` first, then announced changes and requests for the counters.
 """
 
 from __future__ import annotations
@@ -46,29 +46,29 @@
 
 
 class MeteredConnection(ClientConnection):
-    """The node's connection to discovery, which counts the bytes on it and records when they come."""
+    """The node's connection to discovery; counts its bytes and records when they arrive."""
 
     received_bytes = 0  # over all connections
     sent_bytes = 0  # over all connections
-    read_at_s = 0.0  # when the last bytes came
-    answer_bytes = 0  # of the last answer, its head included
+    read_at_s = 0.0  # when the last bytes arrived
+    response_bytes = 0  # of the last response, its head included
 
     def send_request(self, data: bytes, exchange: Exchange) -> None:
         """See `ClientConnection.send_request`."""
         MeteredConnection.sent_bytes += len(data)
-        self.answer_bytes = 0
+        self.response_bytes = 0
         super().send_request(data, exchange)
 
     def data_received(self, data: bytes) -> None:
         """See `ClientConnection.data_received`."""
         MeteredConnection.received_bytes += len(data)
-        self.answer_bytes += len(data)
+        self.response_bytes += len(data)
         self.read_at_s = time.monotonic()
         super().data_received(data)
 
     @staticmethod
     def clear_totals() -> None:
-        """Count the bytes of all connections anew."""
+        """Reset the byte counts of all connections."""
         MeteredConnection.received_bytes = 0
         MeteredConnection.sent_bytes = 0
 
@@ -78,7 +78,7 @@
 
     @property
     def connection(self) -> MeteredConnection:
-        """The connection, which is open while an answer is being delivered."""
+        """The connection, which is open while a response is being delivered."""
         if not isinstance(self._connection, MeteredConnection):
             raise TypeError("a hollow node's watch has no metered connection")
         return self._connection
@@ -86,19 +86,19 @@
 
 @dataclass(slots=True)
 class ExpectedChange:
-    """A change that is to come, and how it has come so far."""
+    """An announced change, and its deliveries so far."""
 
     lists: frozenset[int]
     lost_zone: str
-    due: int  # watches that are to have it
+    due: int  # watches that it concerns
     read_at_s: list[float] = field(default_factory=list)
     delivered_at_s: list[float] = field(default_factory=list)
     repeated: int = 0
 
-    def delivery(self, *, with_moments: bool) -> ChangeDelivery:
-        """Return the counts, and on request the moments of each watch."""
+    def delivery(self, *, with_times: bool) -> ChangeDelivery:
+        """Return the counts, and on request the times of each watch."""
         delivery = ChangeDelivery(self.due, len(self.delivered_at_s), self.repeated)
-        if with_moments:
+        if with_times:
             delivery.delivered_at_s = self.delivered_at_s
             delivery.read_at_s = self.read_at_s
         return delivery
@@ -117,7 +117,7 @@
     ) -> None:
         self.list_number = list_number
         self.revision = cached.revision
-        self.delivered_serials: set[int] = set()  # of the changes that it has
+        self.delivered_serials: set[int] = set()  # of the changes that it has received
         self.watcher = MeteredWatch(
             address, cached.revision, WatchOptions(WATCH_WAIT_MS, retries_forever=True), self._on_update
         )
@@ -136,7 +136,7 @@
 
 
 class HollowNodes:
-    """All hollow nodes of this process, and what they have seen."""
+    """All hollow nodes of this process, and their counters."""
 
     def __init__(self, start: StartNodes) -> None:
         rng = Random(start.seed)
@@ -154,43 +154,46 @@
             )
             for number in start.watches
         ]
-        self.counters = NodeCounters({})  # changes and bytes are added when they are read
+        self.counters = NodeCounters({})  # changes and bytes are added when the counters are read
         self._watches_by_list = Counter(start.watches)
         self._expected: dict[int, ExpectedChange] = {}  # by serial number
-        self._unanswered = set(self.nodes)  # nodes whose watch has had no answer yet
-        self._all_answered = asyncio.Event()
+        self._waiting_for_first = set(self.nodes)  # nodes whose watch has had no response yet
+        self._all_watching = asyncio.Event()
 
     async def start(self) -> None:
-        """Start all watches, a batch at a time, and wait until each has had an answer."""
+        """Start all watches, a batch at a time, and wait until each has had a response."""
         for index, node in enumerate(self.nodes):
             node.watcher.start()
             if index % START_BATCH_SIZE == START_BATCH_SIZE - 1:
                 await asyncio.sleep(START_BATCH_INTERVAL_S)
         if self.nodes:
-            await self._all_answered.wait()
+            await self._all_watching.wait()
 
     def expect(self, change: ExpectChange) -> None:
-        """Count from now on how a change reaches the nodes."""
+        """Count the deliveries of a change from now on."""
         due = sum(self._watches_by_list[number] for number in change.lists)
         self._expected[change.serial] = ExpectedChange(frozenset(change.lists), change.lost_zone, due)
 
     def count_update(self, node: HollowNode, endpoint_list: EndpointList | None) -> None:
-        """Count what a node's watch has just delivered; None: the watch has failed."""
+        """Count an update that a node's watch has just delivered; None: the watch has failed."""
         if endpoint_list is None:
             self.counters.failed += 1
             return
         now = time.monotonic()
         connection = node.watcher.connection
-        self.counters.answers += 1
+        self.counters.responses += 1
         if endpoint_list.endpoints:
-            self.counters.changed_answers += 1
-            self.counters.changed_answer_bytes += connection.answer_bytes
+            self.counters.changed_responses += 1
+            self.counters.changed_response_bytes += connection.response_bytes
         self.counters.complete_lists += endpoint_list.complete
         self.counters.revision_regressions += endpoint_list.revision < node.revision
-        self._unanswered.discard(node)
-        if not self._unanswered:
-            self._all_answered.set()
+        self._waiting_for_first.discard(node)
+        if not self._waiting_for_first:
+            self._all_watching.set()
         node.revision = endpoint_list.revision
+        self._count_changes(node, endpoint_list, now)
+
+    def _count_changes(self, node: HollowNode, endpoint_list: EndpointList, now: float) -> None:
         for serial in self._serials_in(node, endpoint_list):
             change = self._expected.get(serial)
             if change is None:
@@ -198,15 +201,15 @@
             if serial not in node.delivered_serials:
                 node.delivered_serials.add(serial)
                 change.delivered_at_s.append(now)
-                change.read_at_s.append(connection.read_at_s)
+                change.read_at_s.append(node.watcher.connection.read_at_s)
             elif not endpoint_list.complete:
                 change.repeated += 1
 
     def _serials_in(self, node: HollowNode, endpoint_list: EndpointList) -> set[int]:
         """Return the serial numbers of the changes that an endpoint list brings to a node.
 
-        A zone's loss is known by its servers' removal or absence: a discovery server that finds out by
-        comparing complete lists removes entries as it had them, without the serial number.
+        A zone's loss shows in the removal or absence of its servers: a discovery server that detects the loss
+        by comparing complete lists removes the entries as it had them, without the serial number.
         """
         endpoints = endpoint_list.endpoints
         serials = {int(one.started_ms) - CHANGE_EPOCH_MS for one in endpoints if one.started_ms is not None}
@@ -221,10 +224,10 @@
         return serials
 
     def snapshot_counters(self, *, clear: bool) -> NodeCounters:
-        """Return what has been counted; with `clear` count anew from now on."""
+        """Return the counters; with `clear`, reset them."""
         counters = self.counters
         counters.changes = {
-            serial: change.delivery(with_moments=clear) for serial, change in self._expected.items()
+            serial: change.delivery(with_times=clear) for serial, change in self._expected.items()
         }
         counters.received_bytes = MeteredConnection.received_bytes
         counters.sent_bytes = MeteredConnection.sent_bytes
@@ -241,7 +244,7 @@
 
 
 def raise_descriptor_limit() -> None:
-    """Let this process open as many file descriptors as the system permits it."""
+    """Raise this process's limit of file descriptors to the system's maximum."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft < hard:
         with contextlib.suppress(ValueError):
@@ -249,7 +252,7 @@
 
 
 async def main() -> None:
-    """Serve the messages of standard input until it ends."""
+    """Process the messages of standard input until it ends."""
     raise_descriptor_limit()
     logging.getLogger("loadbalancer").setLevel(logging.ERROR)
     vars(watch_client)["ClientConnection"] = MeteredConnection
--- a/benchmarks/hollow/plain_server.py
+++ b/benchmarks/hollow/plain_server.py
@@ -1,4 +1,4 @@
-"""A plain list server of many lists: the baseline that the discovery server is compared with.
+"""A plain list server of many lists: the baseline for the discovery server.
 
 The server listens at an address for each list and encodes each response for the one watch that gets it.
 `python -m benchmarks.hollow.plain_server FILE` reads its lists from a JSON file of `PlainList` and writes
@@ -25,7 +25,7 @@
 
 
 class PlainList(msgspec.Struct):
-    """A list to be served."""
+    """A list to serve."""
 
     revision: int
     entries: list[EndpointEntry]
@@ -33,22 +33,22 @@
 
 
 class PlainServerReady(msgspec.Struct):
-    """The ports of all lists, which are served from now on."""
+    """The ports of all lists, once they are served."""
 
     ports: list[int]
 
 
 class ChangeWritten(msgspec.Struct):
-    """A change is in the lists."""
+    """A change has been applied to the lists."""
 
     at_s: float  # when it was read, by the machine's monotonic clock
 
 
 class UncachedMembership(Membership):
-    """A list whose responses are encoded anew for each watch."""
+    """A list whose responses are encoded again for each watch."""
 
     def watch_response(self, since: int | None) -> bytes:
-        """See `Membership.watch_response`; the response is encoded for this call alone."""
+        """See `Membership.watch_response`; no encoding is reused."""
         self.forget_encoded_responses()
         return super().watch_response(since)
 
--- /dev/null
+++ b/benchmarks/hollow/plan.py
@@ -0,0 +1,51 @@
+"""What a run of hollow nodes measures: its lists, its phases and their lengths."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, replace
+from enum import StrEnum
+
+from benchmarks.hollow.servers_under_test import ServerKind
+from benchmarks.hollow.service_lists import LARGEST_SERVICE, SERVERS, SERVICES
+
+DAY_S = 86_400.0
+CHANGES_PER_DAY = 7_200
+
+
+@dataclass(frozen=True, slots=True)
+class Plan:
+    """The lists, processes and phases of a run."""
+
+    server: ServerKind = ServerKind.PLAIN
+    lists: int = 1
+    servers: int = 1000  # entries of all lists together
+    largest: int = 1000  # entries of the largest list
+    processes: int = 4  # of hollow nodes
+    calm_s: float = 24.0  # seconds at 7,200 changes a day
+    rate_s: float = 15.0  # seconds at `rate`
+    rate: float = 1.0  # changes a second
+    bursts: int = 2  # losses of a zone
+    restarts: int = 2
+    with_policy: bool = False  # whether each hollow node has a policy
+    seed: int = 7
+
+
+class ListLayout(StrEnum):
+    """Which lists the server has."""
+
+    ONE = "one"  # one list of the largest size
+    FLEET = "fleet"  # all lists of the fleet
+    TOGETHER = "together"  # lists whose servers number as many as the watches
+
+
+def with_layout(plan: Plan, layout: ListLayout, watches: int) -> Plan:
+    """Return the plan with the lists of a layout."""
+    match layout:
+        case ListLayout.ONE:
+            return replace(plan, lists=1, servers=LARGEST_SERVICE, largest=LARGEST_SERVICE)
+        case ListLayout.FLEET:
+            return replace(plan, lists=SERVICES, servers=SERVERS, largest=LARGEST_SERVICE)
+        case ListLayout.TOGETHER:
+            services = max(1, watches * SERVICES // SERVERS)
+            largest = min(LARGEST_SERVICE, max(1, watches // 4))
+            return replace(plan, lists=services, servers=watches, largest=largest)
--- a/benchmarks/hollow/servers_under_test.py
+++ b/benchmarks/hollow/servers_under_test.py
@@ -1,4 +1,4 @@
-"""The list servers that hollow nodes are run against, each started and restarted in the same way."""
+"""The list servers that hollow nodes watch, behind one interface for start, change and restart."""
 
 from __future__ import annotations
 
@@ -20,20 +20,18 @@
 from benchmarks.support.list_server import LIST_PATH
 from benchmarks.support.processes import ChildProcess
 
-READY_TIMEOUT_S = 60.0  # for a list to be served after a start
+READY_TIMEOUT_S = 60.0  # from a server's start until a list is served
 READY_POLL_S = 0.02
 PLAIN_ROLE = "plain"
 REGISTRY_ROLE = "registry"
-RESTART_REVISION_INCREMENT = (
-    1_000_000  # a restarted plain server's lists are another history, with later revisions
-)
+RESTART_REVISION_INCREMENT = 1_000_000  # a restarted plain server begins another history of its lists
 MAX_CONNECTIONS = 10_000  # of a discovery server
 MAX_WATCHES = 10_000
 PROBLEM_LEVELS = ("warning", "error")
 
 
 class ListNotServedError(TimeoutError):
-    """A list is not served long after its server was started."""
+    """A list is not served within `READY_TIMEOUT_S` after its server's start."""
 
     def __init__(self, port: int) -> None:
         super().__init__(f"no list is served at port {port} after {READY_TIMEOUT_S:g} s")
@@ -41,7 +39,7 @@
 
 
 class ServerKind(StrEnum):
-    """What the hollow nodes watch."""
+    """The kind of server that the hollow nodes watch."""
 
     PLAIN = "plain"  # a plain list server
     DISCOVERY_SERVER = "directory"  # one discovery server behind a registry
@@ -51,7 +49,7 @@
 class ServerUnderTest(Protocol):
     """A list server, or a chain of them, with the source at which changes are written."""
 
-    roles: dict[str, ChildProcess]  # its processes by role, the one that the nodes watch last
+    roles: dict[str, ChildProcess]  # its processes by role; the last one is the one that the nodes watch
 
     @property
     def ports(self) -> list[int]:
@@ -63,15 +61,15 @@
         ...
 
     async def change(self, changes: ListChanges) -> float:
-        """Write a change at the source; return when, in seconds of the machine's monotonic clock."""
+        """Write a change at the source; return the time of the write, in seconds of the monotonic clock."""
         ...
 
     async def stop_last(self) -> None:
-        """End the process that the nodes watch, at once."""
+        """End the process that the nodes watch, without a shutdown."""
         ...
 
     async def start_last(self, services: ServiceLists, /) -> float:
-        """Start it again at the same addresses; return when it served again."""
+        """Start that process again at the same addresses; return the time from which it serves."""
         ...
 
     def logged_problems(self) -> Counter[str]:
@@ -84,7 +82,7 @@
 
 
 class PlainServer:
-    """One plain list server, which the nodes watch themselves."""
+    """One plain list server, which the nodes watch directly."""
 
     def __init__(self, folder: Path) -> None:
         self.roles: dict[str, ChildProcess] = {}
@@ -98,7 +96,7 @@
         await self.start_last(services)
 
     async def change(self, changes: ListChanges) -> float:
-        """See `ServerUnderTest`; while the process is down, the change is in the file that it starts from."""
+        """See `ServerUnderTest`; while the process is down, the file for its next start holds the change."""
         process = self.roles.get(PLAIN_ROLE)
         if process is None:
             return time.monotonic()
@@ -132,14 +130,14 @@
 
 
 class _LogLine(msgspec.Struct):
-    """What is read of a line of a discovery server's log."""
+    """The fields of a discovery server's log line that are read here."""
 
     level: str
     event: str
 
 
 class DiscoveryServerChain:
-    """Discovery servers in a row behind a plain list server as the registry; the nodes watch the last one."""
+    """Discovery servers in a chain behind a plain list server as the registry; nodes watch the last one."""
 
     def __init__(self, folder: Path, server_roles: Sequence[str]) -> None:
         self.roles: dict[str, ChildProcess] = {}
@@ -185,7 +183,7 @@
         return time.monotonic()
 
     def logged_problems(self) -> Counter[str]:
-        """See `ServerUnderTest`; lines that are no events, such as tracebacks, count as other output."""
+        """See `ServerUnderTest`; lines that are no events, such as tracebacks, count as "other output"."""
         problems: Counter[str] = Counter()
         for role in self._server_roles:
             for line in self._log_file(role).read_bytes().splitlines():
@@ -207,7 +205,7 @@
         await self.roles.pop(self._server_roles[-1]).kill()
 
     async def start_last(self, _services: ServiceLists, /) -> float:
-        """See `ServerUnderTest`; it starts from its snapshot, and serves again when its last list does."""
+        """See `ServerUnderTest`; the server starts from its snapshot, and serves once its last list does."""
         return await self._start_server(self._server_roles[-1], self.ports[-1:])
 
     async def close(self) -> None:
@@ -221,7 +219,7 @@
 def discovery_server_configuration(
     state_folder: Path, ports: Sequence[int], upstream_ports: Sequence[int]
 ) -> str:
-    """Return a discovery server's configuration: each list at its port, from its port upstream."""
+    """Return a discovery server's configuration: each list at its port, watched at its upstream port."""
     lines = [
         f"state_dir = {str(state_folder)!r}",
         "[process]",
@@ -242,7 +240,7 @@
     """Wait until a list is served at this loopback port.
 
     Raises:
-        ListNotServedError: It is not after `READY_TIMEOUT_S`.
+        ListNotServedError: The list is not served within `READY_TIMEOUT_S`.
     """
     deadline = time.monotonic() + READY_TIMEOUT_S
     while time.monotonic() < deadline:
@@ -254,7 +252,7 @@
 
 
 def server_under_test(kind: ServerKind, folder: Path) -> ServerUnderTest:
-    """Return a server of this kind, which keeps its files in a folder and is not started yet."""
+    """Return a server of this kind, not started yet; the folder is for its files."""
     match kind:
         case ServerKind.PLAIN:
             return PlainServer(folder)
--- a/benchmarks/hollow/service_lists.py
+++ b/benchmarks/hollow/service_lists.py
@@ -21,7 +21,7 @@
 
 
 class ServiceSizeError(ValueError):
-    """So many servers cannot make up so many services of at most that size."""
+    """The number of servers does not fit the number of services of at most the given size."""
 
     def __init__(self, services: int, servers: int, largest: int) -> None:
         super().__init__(f"{servers} servers don't make {services} services of at most {largest}")
@@ -33,15 +33,15 @@
 def service_sizes(
     services: int = SERVICES, servers: int = SERVERS, largest: int = LARGEST_SERVICE
 ) -> list[int]:
-    """Return the servers of each service, largest first, falling by a power of the rank.
+    """Return the number of servers of each service, largest first: a power law of the service's rank.
 
     Args:
-        services: How many services.
+        services: The number of services.
         servers: The sum of all sizes, exactly.
         largest: The size of the largest service.
 
     Raises:
-        ServiceSizeError: There are no such sizes.
+        ServiceSizeError: No sizes meet these numbers.
     """
     if not largest <= servers or not services <= servers or not largest * services >= servers:
         raise ServiceSizeError(services, servers, largest)
@@ -60,7 +60,7 @@
 
 
 def _distribute(missing: int, sizes: list[int], largest: int) -> None:
-    """Add what rounding left to the services after the largest, one server each."""
+    """Add the servers that rounding removed to the services after the largest, one server each."""
     services = len(sizes)
     index = 1
     while missing > 0:
@@ -71,7 +71,7 @@
 
 
 class ServiceLists:
-    """The endpoint lists of all services; each change has a serial number, which its entries carry."""
+    """The endpoint lists of all services; the entries of each change carry its serial number."""
 
     def __init__(self, sizes: Iterable[int], seed: int) -> None:
         self.rng = Random(seed)
@@ -100,7 +100,7 @@
         }
 
     def restart_one(self, list_numbers: Iterable[int]) -> ListChanges:
-        """Restart one server, drawn from those of these lists."""
+        """Restart one server, drawn from the servers of these lists."""
         candidates = list(list_numbers)
         (number,) = self.rng.choices(candidates, [len(self.lists[number]) for number in candidates])
         uid = self.rng.choice(list(self.lists[number]))
@@ -117,7 +117,7 @@
         return self._change(self._uids_in_zone(zone), REMOVED)
 
     def restore(self, lost: ListChanges) -> ListChanges:
-        """Put servers that were lost into their lists again, in one change."""
+        """Restore lost servers to their lists, in one change."""
         for number, entries in lost.items():
             self.lists[number].update({entry["uid"]: entry for entry in entries})
         return self._change(
@@ -147,9 +147,10 @@
         return changes
 
     def sample_watches(self, count: int) -> list[int]:
-        """Return the number of the list that each of so many nodes watches.
+        """Return, for each of `count` nodes, the number of the list that it watches.
 
-        Nodes are drawn from the fleet, in which each server has one; beyond the fleet's size they repeat.
+        Nodes are drawn from the fleet, in which each server has one node; beyond the fleet's size they
+        repeat.
         """
         list_of_server = [number for number, entries in enumerate(self.lists) for _ in entries]
         if count <= len(list_of_server):
--- a/tests/benchmarks/test_change_deliveries.py
+++ b/tests/benchmarks/test_change_deliveries.py
@@ -16,5 +16,5 @@
     assert (deliveries.due, deliveries.delivered, deliveries.repeated) == (3, 3, 1)
     deliveries.add_change(10.0, [incomplete])  # one watch never had it: there is no last delivery
     assert deliveries.last_times_s == [3.0]
-    record = deliveries.record()
-    assert (record["last_ms"], record["read_last_ms"], record["missed"]) == (3000.0, 8000.0, 1)
+    figures = deliveries.figures()
+    assert (figures.last_ms, figures.read_last_ms, figures.missed) == (3000.0, 8000.0, 1)
--- a/tests/benchmarks/test_hollow_nodes.py
+++ b/tests/benchmarks/test_hollow_nodes.py
@@ -1,9 +1,8 @@
-"""Hollow nodes count each change as often as it reaches their watches. No times are judged here."""
+"""Hollow nodes count each change as often as it reaches their watches. The tests judge no times."""
 
 from __future__ import annotations
 
-import asyncio
-import contextlib
+from dataclasses import dataclass
 
 import pytest
 
@@ -12,119 +11,135 @@
 from benchmarks.hollow.nodes import HollowNodes, MeteredConnection
 from benchmarks.hollow.plain_server import PlainList, serve
 from benchmarks.hollow.service_lists import ServiceLists
+from benchmarks.support.list_server import ListServer
 from benchmarks.support.membership import EndpointListMessage
 from tests.support.loopback import until
 
 WATCHES = [0, 0, 0, 0, 0, 1, 1, 1]  # the list's number for each node
-DELIVERY_TIMEOUT_S = 10.0
 
 
-@contextlib.asynccontextmanager
-async def watching_nodes(monkeypatch, with_policy=False):
+@dataclass
+class WatchedLists:
     """Eight hollow nodes of this process on two lists of a plain server."""
-    monkeypatch.setattr(hollow_nodes.watch_client, "ClientConnection", MeteredConnection)
-    services = ServiceLists([40, 40], seed=1)
-    entries = [list(entries_by_uid.values()) for entries_by_uid in services.lists]
-    running = await serve([PlainList(1, list_entries) for list_entries in entries])
-    lists = {
-        number: WatchedList(port, EndpointListMessage(1, True, entries[number]))
-        for number, port in enumerate(running.ports)
-    }
-    nodes = HollowNodes(StartNodes(lists, WATCHES, with_policy, seed=1))
-    await nodes.start()
-    nodes.snapshot_counters(clear=True)
-    try:
-        yield services, running.servers, nodes
-    finally:
-        nodes.close()
-        for server in running.servers:
-            server.close()
 
+    services: ServiceLists
+    servers: list[ListServer]
+    nodes: HollowNodes
+
+    def write(self, changes, lost_zone=""):
+        """Write a change that the nodes expect; return its serial number."""
+        self.nodes.expect(ExpectChange(self.services.serial, list(changes), lost_zone))
+        for number, entries in changes.items():
+            self.servers[number].change(entries)
+        return self.services.serial
 
-async def wait_for_changed_answers(nodes, count):
-    """Wait until so many answers with entries have been counted; too few after 10 s are an error."""
-    async with asyncio.timeout(DELIVERY_TIMEOUT_S):
-        await until(lambda: nodes.counters.changed_answers >= count)
+    async def changed_responses(self, count):
+        """Wait until this many responses with entries have been counted."""
+        await until(lambda: self.nodes.counters.changed_responses >= count)
 
 
-def write(services, servers, nodes, changes, lost_zone=""):
-    nodes.expect(ExpectChange(services.serial, list(changes), lost_zone))
-    for number, entries in changes.items():
-        servers[number].change(entries)
-    return services.serial
+@pytest.fixture
+async def start_lists(monkeypatch):
+    """Returns a function that starts the lists and the nodes; all are closed after the test."""
+    monkeypatch.setattr(hollow_nodes.watch_client, "ClientConnection", MeteredConnection)
+    started = []
+
+    async def start(*, with_policy=False):
+        services = ServiceLists([40, 40], seed=1)
+        entries = [list(entries_by_uid.values()) for entries_by_uid in services.lists]
+        running = await serve([PlainList(1, list_entries) for list_entries in entries])
+        lists = {
+            number: WatchedList(port, EndpointListMessage(1, True, entries[number]))
+            for number, port in enumerate(running.ports)
+        }
+        nodes = HollowNodes(StartNodes(lists, WATCHES, with_policy, seed=1))
+        started.append(WatchedLists(services, running.servers, nodes))
+        await nodes.start()
+        nodes.snapshot_counters(clear=True)
+        return started[-1]
+
+    yield start
+    for lists in started:
+        lists.nodes.close()
+        for server in lists.servers:
+            server.close()
 
 
 def counts(delivery):
     return delivery.due, delivery.delivered, delivery.repeated
 
 
-def test_change_is_counted_once_for_each_watch_of_its_list(monkeypatch):
-    async def main():
-        async with watching_nodes(monkeypatch) as (services, servers, nodes):
-            first = write(services, servers, nodes, services.restart_one([0]))
-            second = write(services, servers, nodes, services.restart_one([1]))
-            await wait_for_changed_answers(nodes, 8)
-            counters = nodes.snapshot_counters(clear=True)
-            assert counts(counters.changes[first]) == (5, 5, 0)
-            assert counts(counters.changes[second]) == (3, 3, 0)
-            delivery = counters.changes[first]
-            assert len(delivery.delivered_at_s) == len(delivery.read_at_s) == 5
-            moments = zip(delivery.read_at_s, delivery.delivered_at_s, strict=True)
-            assert all(read <= delivered for read, delivered in moments)
-            assert nodes.snapshot_counters(clear=False).changes == {}
-
-    asyncio.run(main())
-
-
-def test_repeated_change_and_revision_that_goes_back_are_counted(monkeypatch):
-    async def main():
-        async with watching_nodes(monkeypatch) as (services, servers, nodes):
-            changes = services.restart_one([0])
-            serial = write(services, servers, nodes, changes)
-            await wait_for_changed_answers(nodes, 5)
-            servers[0].change(changes[0])
-            await wait_for_changed_answers(nodes, 10)
-            assert counts(nodes.snapshot_counters(clear=True).changes[serial]) == (5, 5, 5)
-            servers[1].membership.revision = -9
-            servers[1].change(services.restart_one([1])[1])
-            await wait_for_changed_answers(nodes, 3)
-            assert nodes.snapshot_counters(clear=True).revision_regressions == 3
-
-    asyncio.run(main())
-
-
-@pytest.mark.parametrize("form", ["changes", "changes without serial", "complete list"])
-def test_loss_of_a_zone_is_counted_in_whatever_form_it_comes(monkeypatch, form):
-    async def main():
-        async with watching_nodes(monkeypatch) as (services, servers, nodes):
-            if form == "complete list":
-                monkeypatch.setattr(servers[0].membership, "_oldest_known_revision", 2)
-                monkeypatch.setattr(servers[1].membership, "_oldest_known_revision", 2)
-            lost = services.lose_zone("z03")
-            if form == "changes without serial":
-                lost = {
-                    number: [entry | {"boot_ms": 0} for entry in entries] for number, entries in lost.items()
-                }
-            serial = write(services, servers, nodes, lost, "z03")
-            await wait_for_changed_answers(nodes, 8)
-            counters = nodes.snapshot_counters(clear=True)
-            assert counters.complete_lists == (8 if form == "complete list" else 0)
-            assert counts(counters.changes[serial]) == (8, 8, 0)
-
-    asyncio.run(main())
-
-
-def test_received_bytes_are_those_of_the_responses_and_policies_follow_the_list(monkeypatch):
-    async def main():
-        async with watching_nodes(monkeypatch, with_policy=True) as (services, servers, nodes):
-            before = sum(server.bytes_out for server in servers)
-            lost = services.lose_zone("z03")
-            write(services, servers, nodes, lost, "z03")
-            await wait_for_changed_answers(nodes, 8)
-            counters = nodes.snapshot_counters(clear=True)
-            sent = sum(server.bytes_out for server in servers) - before
-            assert counters.received_bytes == sent >= counters.changed_answer_bytes > 0
-            for node in nodes.nodes:
-                assert set(node.policy.endpoints.by_name) == set(services.lists[node.list_number])
-
-    asyncio.run(main())
+async def test_change_is_counted_once_for_each_watch_of_its_list(start_lists):
+    lists = await start_lists()
+    first = lists.write(lists.services.restart_one([0]))
+    second = lists.write(lists.services.restart_one([1]))
+    await lists.changed_responses(8)
+    counters = lists.nodes.snapshot_counters(clear=True)
+    assert counts(counters.changes[first]) == (5, 5, 0)
+    assert counts(counters.changes[second]) == (3, 3, 0)
+    delivery = counters.changes[first]
+    assert len(delivery.delivered_at_s) == len(delivery.read_at_s) == 5
+    times_s = zip(delivery.read_at_s, delivery.delivered_at_s, strict=True)
+    assert all(read_s <= delivered_s for read_s, delivered_s in times_s)
+    assert lists.nodes.snapshot_counters(clear=False).changes == {}
+
+
+async def test_repeated_change_and_revision_that_goes_back_are_counted(start_lists):
+    lists = await start_lists()
+    changes = lists.services.restart_one([0])
+    serial = lists.write(changes)
+    await lists.changed_responses(5)
+    lists.servers[0].change(changes[0])
+    await lists.changed_responses(10)
+    assert counts(lists.nodes.snapshot_counters(clear=True).changes[serial]) == (5, 5, 5)
+    lists.servers[1].membership.revision = -9
+    lists.servers[1].change(lists.services.restart_one([1])[1])
+    await lists.changed_responses(3)
+    assert lists.nodes.snapshot_counters(clear=True).revision_regressions == 3
+
+
+def with_serial(lists, changes):
+    """The change as it is written."""
+    return changes
+
+
+def without_serial(lists, changes):
+    """The change as a discovery server writes it that has compared complete lists."""
+    return {number: [entry | {"boot_ms": 0} for entry in entries] for number, entries in changes.items()}
+
+
+def compacted(lists, changes):
+    """The change for watches whose revision is no longer in the change log."""
+    for server in lists.servers:
+        server.membership.revision += 1
+        server.membership.compact()
+    return changes
+
+
+@pytest.mark.parametrize(
+    ("prepare", "complete_lists"),
+    [
+        pytest.param(with_serial, 0, id="delta"),
+        pytest.param(without_serial, 0, id="delta without serial"),
+        pytest.param(compacted, 8, id="complete list"),
+    ],
+)
+async def test_loss_of_a_zone_is_counted_in_every_form(start_lists, prepare, complete_lists):
+    lists = await start_lists()
+    serial = lists.write(prepare(lists, lists.services.lose_zone("z03")), "z03")
+    await lists.changed_responses(8)
+    counters = lists.nodes.snapshot_counters(clear=True)
+    assert counters.complete_lists == complete_lists
+    assert counts(counters.changes[serial]) == (8, 8, 0)
+
+
+async def test_received_bytes_are_those_of_the_responses_and_policies_follow_the_list(start_lists):
+    lists = await start_lists(with_policy=True)
+    before = sum(server.bytes_out for server in lists.servers)
+    lists.write(lists.services.lose_zone("z03"), "z03")
+    await lists.changed_responses(8)
+    counters = lists.nodes.snapshot_counters(clear=True)
+    sent = sum(server.bytes_out for server in lists.servers) - before
+    assert counters.received_bytes == sent >= counters.changed_response_bytes > 0
+    for node in lists.nodes.nodes:
+        assert set(node.policy.endpoints.by_name) == set(lists.services.lists[node.list_number])
--- a/tests/benchmarks/test_hollow_run.py
+++ b/tests/benchmarks/test_hollow_run.py
@@ -2,31 +2,28 @@
 
 from __future__ import annotations
 
-import asyncio
 import time
-from dataclasses import replace
-from typing import ClassVar
 
 import pytest
 
-from benchmarks.hollow import __main__ as hollow
-from benchmarks.hollow import run as hollow_run
-from benchmarks.hollow.messages import Acknowledgement, ChangeDelivery, ExpectChange, NodeCounters
-from benchmarks.hollow.run import HollowRun, Plan
+from benchmarks.hollow.measurement import measure
+from benchmarks.hollow.messages import ChangeDelivery, NodeCounters
+from benchmarks.hollow.plan import Plan
+from benchmarks.hollow.run import HollowRun, RunTiming
 from benchmarks.hollow.servers_under_test import ServerKind
-from benchmarks.support.processes import ProcessUsage
 
 
 @pytest.mark.parametrize(
     ("server", "roles"),
-    [(ServerKind.PLAIN, ["plain"]), (ServerKind.CHAIN, ["registry", "region", "zone"])],
-    ids=["plain", "chain"],
+    [
+        pytest.param(ServerKind.PLAIN, ["plain"], id="plain"),
+        pytest.param(ServerKind.CHAIN, ["registry", "region", "zone"], id="chain"),
+    ],
 )
-def test_run_delivers_every_change_once_and_recovers_from_a_restart(tmp_path, monkeypatch, server, roles):
-    monkeypatch.setattr(hollow_run, "SETTLE_S", 0.1)
-    monkeypatch.setattr(hollow_run, "DOWNTIME_S", 0.1)
-    short = Plan(server, processes=2, calm_s=0.5, rate_s=0.5, rate=8.0, bursts=1, restarts=1)
-    record = asyncio.run(hollow.measure(replace(short, lists=2, servers=80, largest=50), 8, tmp_path))
+async def test_run_delivers_every_change_once_and_recovers_from_a_restart(tmp_path, server, roles):
+    lists = {"lists": 2, "servers": 80, "largest": 50}
+    plan = Plan(server, processes=2, calm_s=0.5, rate_s=0.5, rate=8.0, bursts=1, restarts=1, **lists)
+    record = (await measure(plan, 8, tmp_path, RunTiming(settle_s=0.1, downtime_s=0.1))).row()
     for phase in ("calm", "rate", "burst", "return", "restart"):
         assert record[f"{phase}_due"] > 0
         assert record[f"{phase}_missed"] == record[f"{phase}_again"] == record[f"{phase}_back"] == 0
@@ -41,43 +38,48 @@
 
 
 class LateNodes:
-    """A process of hollow nodes whose one watch has each change only when its counters are read thrice."""
+    """Hollow nodes whose one watch has each change only at the third reading of the counters, or never."""
 
     def __init__(self, changes_arrive):
         self.changes_arrive = changes_arrive
         self.reads = 0
         self.serials = []
 
-    async def request(self, message, answer_type):
-        if isinstance(message, ExpectChange):
-            self.serials.append(message.serial)
-            return Acknowledgement()
+    async def expect(self, change):
+        self.serials.append(change.serial)
+
+    async def read_counters(self, *, clear):
         self.reads += 1
-        moments = [time.monotonic()] if self.changes_arrive and self.reads >= 3 else []
-        delivery = ChangeDelivery(1, len(moments), 0, moments, moments)
-        return NodeCounters(dict.fromkeys(self.serials, delivery))
+        times_s = [time.monotonic()] if self.changes_arrive and self.reads >= 3 else []
+        delivery = ChangeDelivery(1, len(times_s), 0, times_s, times_s)
+        return [NodeCounters(dict.fromkeys(self.serials, delivery))]
 
-    def usage(self):
-        return ProcessUsage(1, 0.0, 0.0)
+    def cpu_seconds(self):
+        return 0.0
 
 
 class SourceWithoutProcesses:
     """A source of changes that needs no process."""
 
-    roles: ClassVar[dict] = {}
+    def __init__(self):
+        self.roles = {}
 
     async def change(self, changes):
         return time.monotonic()
 
 
-@pytest.mark.parametrize(("changes_arrive", "missed"), [(True, 0), (False, 2)])
-def test_steady_phase_waits_for_late_changes_and_counts_lost_ones(
-    tmp_path, monkeypatch, changes_arrive, missed
+@pytest.mark.parametrize(
+    ("changes_arrive", "delivery_timeout_s", "missed"),
+    [
+        pytest.param(True, 30.0, 0, id="late changes"),
+        pytest.param(False, 0.3, 2, id="lost changes"),
+    ],
+)
+async def test_steady_phase_waits_for_late_changes_and_counts_lost_ones(
+    changes_arrive, delivery_timeout_s, missed
 ):
-    monkeypatch.setattr(hollow_run, "SETTLE_S", 0.0)
-    monkeypatch.setattr(hollow_run, "DELIVERY_TIMEOUT_S", 10.0 if changes_arrive else 0.3)
-    run = HollowRun(Plan(lists=1, servers=10, largest=10), 1, tmp_path)
-    run.server = SourceWithoutProcesses()
-    run.node_processes = [LateNodes(changes_arrive)]
-    record = asyncio.run(run.run_steady(0.02, 0.01)).deliveries.record()
-    assert (record["due"], record["missed"], record["again"]) == (2, missed, 0)
+    timing = RunTiming(settle_s=0.0, delivery_timeout_s=delivery_timeout_s)
+    plan = Plan(lists=1, servers=10, largest=10)
+    run = HollowRun(plan, 1, SourceWithoutProcesses(), LateNodes(changes_arrive), timing)
+    figures = (await run.run_steady(0.02, 0.01)).deliveries.figures()
+    assert (figures.due, figures.missed, figures.repeated) == (2, missed, 0)
--- a/tests/benchmarks/test_service_lists.py
+++ b/tests/benchmarks/test_service_lists.py
@@ -4,8 +4,7 @@
 
 import pytest
 
-from benchmarks.hollow.__main__ import ListLayout, with_layout
-from benchmarks.hollow.run import Plan
+from benchmarks.hollow.plan import ListLayout, Plan, with_layout
 from benchmarks.hollow.service_lists import (
     CHANGE_EPOCH_MS,
     LARGEST_SERVICE,
