--- a/benchmarks/profiled_proxy.py
+++ b/benchmarks/call_profile/profiled_proxy.py
@@ -1,4 +1,4 @@
-"""A real proxy that samples itself, configured as the proxy is: `python -m benchmarks.profiled_proxy`.
+"""A real proxy that samples itself, configured as the proxy is: `benchmarks.call_profile.profiled_proxy`.
 
 SIGUSR1 starts taking a sample of the running function each few milliseconds of processor time; SIGUSR2 stops
 it and writes all counts so far, a `ProfileCounts`, to the file that SCALE_PROFILE names. A sample counts for
@@ -72,21 +72,28 @@
         "": "policy: selection",
     },
     "loadbalancer/policy/discovery_backoff.py": {"": "policy: rest"},
-    "loadbalancer/http/listener.py": {
-        "_sweep": "sweeps, heartbeat and statistics",
+    "loadbalancer/http/listener.py": {"": "downstream: parse and phase"},
+    "loadbalancer/http/listening_sockets.py": {"": "downstream: parse and phase"},
+    "loadbalancer/http/eviction.py": {"": "downstream: parse and phase"},
+    "loadbalancer/http/request_timeouts.py": {"": "sweeps, heartbeat and statistics"},
+    "loadbalancer/http/connection_registry.py": {
+        "entered_until": "sweeps, heartbeat and statistics",
         "": "downstream: parse and phase",
     },
     "loadbalancer/http/server_connection.py": {
         "respond": "downstream: write the response",
-        "_response_head": "downstream: write the response",
-        "entered_until": "sweeps, heartbeat and statistics",
         "": "downstream: parse and phase",
     },
+    "loadbalancer/http/response_head.py": {"": "downstream: write the response"},
     "loadbalancer/http/request.py": {
         "respond": "downstream: write the response",
         "": "downstream: parse and phase",
     },
+    "loadbalancer/http/request_parser.py": {"": "downstream: parse and phase"},
     "loadbalancer/proxy/proxy.py": {"": "proxy: events and actions"},
+    "loadbalancer/proxy/policy_runner.py": {"": "proxy: events and actions"},
+    "loadbalancer/proxy/request_intake.py": {"": "proxy: events and actions"},
+    "loadbalancer/proxy/membership.py": {"": "proxy: events and actions"},
     "loadbalancer/proxy/request_parsing.py": {"": "proxy: parse the request"},
     "loadbalancer/proxy/clock.py": {"": "proxy: events and actions"},
     "loadbalancer/proxy/pending_request.py": {"": "proxy: events and actions"},
@@ -116,6 +123,11 @@
         "__init__": "upstream: connect",
         "": "upstream: parse the response",
     },
+    "loadbalancer/http/response_parser.py": {
+        "__init__": "upstream: connect",
+        "start_response": "upstream: write the request",
+        "": "upstream: parse the response",
+    },
     "loadbalancer/http/socket_state.py": {"": "pool: acquire and release"},
     "loadbalancer/discovery/endpoint_list.py": {"": "discovery: watch"},
     "loadbalancer/discovery/watch_client.py": {"": "discovery: watch"},
--- a/tests/proxy/test_start.py
+++ b/tests/proxy/test_start.py
@@ -35,7 +35,9 @@
     "loadbalancer": {"__main__", "actions", "events", "platform_settings", "settings"},
     "loadbalancer.discovery": {"endpoint_list", "watch_client", "watch_timing"},
     "loadbalancer.http": {
-        *("addresses", "client_connection", "limits", "listener", "request", "server_connection"),
+        *("addresses", "client_connection", "connection_registry", "eviction", "limits", "listener"),
+        *("listening_sockets", "request", "request_parser", "request_timeouts", "response_head"),
+        *("response_parser", "server_connection"),
         "socket_state",
     },
     "loadbalancer.policy": {
@@ -43,8 +45,9 @@
         *("requests", "selection", "slow_start"),
     },
     "loadbalancer.proxy": {
-        *("clock", "config", "connection_pool", "graceful_shutdown", "pending_request", "proxy"),
-        *("request_forwarding", "request_parsing", "statistics", "upstream_attempt"),
+        *("clock", "config", "connection_pool", "graceful_shutdown", "membership", "pending_request"),
+        *("policy_runner", "proxy", "request_forwarding", "request_intake", "request_parsing"),
+        *("statistics", "upstream_attempt"),
     },
 }
 EXTRA = {"__future__", "_bisect", "bisect", "_random", "random", "_sha512", "_sha2", "gc", "http", "math"}
@@ -93,11 +96,10 @@
         )
         self._program = start_program(write_config(folder, row, self.address))
 
-    async def end_outage(self) -> asyncio.Server:
+    async def end_outage(self) -> None:
         """Bring discovery back, and wait until the proxy has the new list."""
-        server = await self.outage.end(self.discovery)
+        await self.outage.end(self.discovery)
         await until(lambda: any("since=2&" in message.first[1] for message in self.discovery.seen))
-        return server
 
     async def stop(self) -> None:
         self._program.kill()
@@ -122,11 +124,10 @@
         if known == "outdated":
             assert (await ask_until_answered(proxy.address, request(name="early"))).status == 200
             assert request_ids(proxy.old_endpoint) == ["early"]
-        server = await proxy.end_outage()
+        await proxy.end_outage()
         assert (await ask_until_answered(proxy.address, READINESS_REQUEST)).status == 200
         assert (await ask_until_answered(proxy.address, request(name="late"))).status == 200
         assert request_ids(proxy.new_endpoint) == ["late"]
-        server.close()
 
     async def main() -> None:
         proxy = ProxyWithoutDiscovery(outage, mode, known)
--- a/tests/support/proxy.py
+++ b/tests/support/proxy.py
@@ -18,7 +18,7 @@
 from loadbalancer.http.client_connection import ClientConnection, HttpResponse
 from loadbalancer.proxy.connection_pool import ConnectionPool
 from loadbalancer.proxy.proxy import Proxy
-from loadbalancer.proxy.upstream_attempt import UpstreamAttempt, UpstreamRequest
+from loadbalancer.proxy.upstream_attempt import UpstreamAttempt
 from tests.support.loopback import (
     LoopbackServer,
     Message,
@@ -30,7 +30,7 @@
 REQUEST_BYTES = b"GET /read/1 HTTP/1.1\r\nReq-Id: q\r\n\r\n"
 
 
-class FixedRequest(UpstreamRequest):
+class FixedRequest:
     """A request of given bytes that is always needed."""
 
     def __init__(self, data: bytes, on_result: OnResult) -> None:
@@ -86,25 +86,16 @@
     return act
 
 
-class ManualServer:
+class ManualServer(LoopbackServer):
     """A server whose test reads and writes each of its connections itself."""
 
     def __init__(self) -> None:
+        super().__init__()
         self.links: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
 
-    async def start(self) -> ManualServer:
-        self._server = await asyncio.start_server(self._take, "127.0.0.1", 0)
-        self.endpoint = f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
-        return self
-
-    async def _take(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.links.append((reader, writer))
 
-    def stop(self) -> None:
-        self._server.close()
-        for _, writer in self.links:
-            writer.close()
-
 
 class GatedConnects:
     """Holds back the connections that a proxy's pool opens, after the first few, until the gate is set."""
