--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import ast
+import importlib.util
 import re
 from collections.abc import Iterator
 from pathlib import Path
@@ -11,10 +12,12 @@
 
 ROOT = Path(__file__).parents[1]
 PAGES = (
+    "CONTRIBUTING.md",
     "README.md",
     "docs/architecture.md",
     "docs/configuration.md",
     "docs/limits.md",
+    "docs/open-issues.md",
     "docs/operations.md",
     "docs/races.md",
     "docs/slow-start.md",
@@ -35,7 +38,10 @@
 
 @pytest.mark.parametrize("page", PAGES)
 def test_files_on_the_pages_exist(page):
-    paths = [path.relative_to(ROOT).as_posix() for path in [*ROOT.glob("docs/*.md"), *sources()]]
+    paths = [
+        path.relative_to(ROOT).as_posix()
+        for path in [*ROOT.glob("*.md"), *ROOT.glob("docs/*.md"), *sources()]
+    ]
     named = [span for span in code_spans(page) if re.fullmatch(r"[\w/-]+\.(py|md)", span)]
     assert [name for name in named if not any(f"/{path}".endswith(f"/{name}") for path in paths)] == []
 
@@ -48,6 +54,15 @@
     assert [name for name in named if not set(name.split(".")) <= known] == []
 
 
+@pytest.mark.parametrize("page", PAGES)
+def test_modules_that_the_pages_run_exist(page):
+    """The names after `python -m`, and the benchmarks' commands."""
+    text = (ROOT / page).read_text()
+    named = set(re.findall(r"python -m ((?:loadbalancer|benchmarks)(?:\.[a-z_]+)*)", text))
+    named |= set(re.findall(r"`(benchmarks(?:\.[a-z_]+)+)`", text))
+    assert [name for name in named if importlib.util.find_spec(name) is None] == []
+
+
 def log_events(path: Path) -> Iterator[str]:
     """The event of each log call in a file: its text up to the first field."""
     for node in ast.walk(ast.parse(path.read_text())):
