--- a/loadbalancer/http/request.py
+++ b/loadbalancer/http/request.py
@@ -6,11 +6,6 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-FORWARDED_HEADERS = frozenset(
-    b"host req-id idempotency-key req-owner req-retry req-cost req-extra".split()
-    + b"accept content-type content-encoding".split()
-)
-
 
 class RequestConnection(Protocol):
     """The downstream connection of a request, as the owner of the request sees it."""
--- a/loadbalancer/http/request_parser.py
+++ b/loadbalancer/http/request_parser.py
@@ -10,16 +10,17 @@
 import httptools
 
 from loadbalancer.http.limits import MAX_BODY_BYTES, MAX_HEAD_BYTES
-from loadbalancer.http.request import FORWARDED_HEADERS, HttpRequest
+from loadbalancer.http.request import HttpRequest
 
 MAX_PIPELINED_REQUESTS = 32  # complete requests that may wait on one connection
 SUPPORTED_VERSIONS = ("1.1", "1.0")
 TARGET_PATTERN = re.compile(rb"/[\x21-\x7e]*")
 
-# Guard: when a header occurs twice, the proxy could read one value and an endpoint the other. A second
-# occurrence of any of these headers is therefore a fault.
-SINGLE_VALUE_HEADERS = FORWARDED_HEADERS | frozenset(
-    b"req-deadline-ms content-length transfer-encoding expect".split()
+# Guard: when a header occurs twice, the server could read one value, and a server that the request is
+# forwarded to the other. A second occurrence of any header that either of them reads is therefore a fault.
+SINGLE_VALUE_HEADERS = frozenset(
+    b"host req-id idempotency-key req-owner req-retry req-cost req-extra req-deadline-ms".split()
+    + b"accept content-type content-encoding content-length transfer-encoding expect".split()
 )
 
 
--- a/loadbalancer/proxy/request_forwarding.py
+++ b/loadbalancer/proxy/request_forwarding.py
@@ -9,7 +9,7 @@
 from loadbalancer.actions import Send
 from loadbalancer.events import AttemptOutcome, AttemptResult, Event, LoadReport
 from loadbalancer.http.client_connection import HttpResponse
-from loadbalancer.http.request import FORWARDED_HEADERS, HttpRequest
+from loadbalancer.http.request import HttpRequest
 from loadbalancer.platform_settings import parse_load_report
 from loadbalancer.proxy.connection_pool import ConnectionPool
 from loadbalancer.proxy.pending_request import PendingRequest, PendingRequests
@@ -18,6 +18,10 @@
 from loadbalancer.settings import Settings
 
 LOAD_REPORT_HEADER = b"srv-load"
+FORWARDED_HEADERS = frozenset(  # each is one of `SINGLE_VALUE_HEADERS`, whose guard says why
+    b"host req-id idempotency-key req-owner req-retry req-cost req-extra".split()
+    + b"accept content-type content-encoding".split()
+)
 
 
 class ForwardedAttempt:
--- a/tests/http/test_request_validation.py
+++ b/tests/http/test_request_validation.py
@@ -8,6 +8,8 @@
 
 from loadbalancer.actions import Send
 from loadbalancer.events import ClientDisconnected, IncomingRequest
+from loadbalancer.http.request_parser import SINGLE_VALUE_HEADERS
+from loadbalancer.proxy.request_forwarding import FORWARDED_HEADERS
 from tests.support.loopback import (
     ScriptedPolicy,
     StalledBackend,
@@ -93,3 +95,7 @@
     assert (await send_request(proxy, request("post", "q1", b"ab", **more))).status == 200
     names = {"host", "req-id", "req-owner", "req-deadline-ms", "content-length"}
     assert set(backend.seen[0].headers) == names
+
+
+def test_each_forwarded_header_may_occur_only_once():
+    assert FORWARDED_HEADERS <= SINGLE_VALUE_HEADERS
