--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list's form on the wire: what is read, and which field a malformed one is rejected for."""
+"""Parsing of the endpoint list: what is read, and the field for which a malformed list is rejected."""
 
 from __future__ import annotations
 
@@ -31,17 +31,19 @@
 @pytest.mark.parametrize(
     ("malformed", "field"),
     [
-        ([], ""),
-        ({"rev": 1, "all": True}, "targets"),
-        (message(rev="4"), "rev"),
-        (message(all=1), "all"),
-        (message(targets={}), "targets"),
-        (message(targets=[TARGET | {"state": "Asleep"}]), "targets.state"),
-        (message(targets=[TARGET | {"uid": 5}]), "targets.uid"),
-        (message(targets=[TARGET | {"endpoint": "host.name:80"}]), "targets.endpoint"),
-        (message(targets=[{"uid": "a", "state": "Ready"}]), "targets.endpoint"),
-        (message(targets=[TARGET | {"pod_group": "x"}]), "targets"),
-        (message(targets=[5]), "targets"),
+        pytest.param([], "", id="no object"),
+        pytest.param({"rev": 1, "all": True}, "targets", id="no targets"),
+        pytest.param(message(rev="4"), "rev", id="revision no number"),
+        pytest.param(message(all=1), "all", id="all no boolean"),
+        pytest.param(message(targets={}), "targets", id="targets no array"),
+        pytest.param(message(targets=[TARGET | {"state": "Asleep"}]), "targets.state", id="unknown state"),
+        pytest.param(message(targets=[TARGET | {"uid": 5}]), "targets.uid", id="uid no string"),
+        pytest.param(
+            message(targets=[TARGET | {"endpoint": "host.name:80"}]), "targets.endpoint", id="host name"
+        ),
+        pytest.param(message(targets=[{"uid": "a", "state": "Ready"}]), "targets.endpoint", id="no address"),
+        pytest.param(message(targets=[TARGET | {"pod_group": "x"}]), "targets", id="pod group no number"),
+        pytest.param(message(targets=[5]), "targets", id="target no object"),
     ],
 )
 def test_malformed_list_is_rejected_with_the_field_at_fault(malformed, field):
--- a/tests/discovery/test_watch_client.py
+++ b/tests/discovery/test_watch_client.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-import asyncio
+import contextlib
 
 import pytest
 
@@ -20,33 +20,38 @@
 @pytest.mark.parametrize(
     ("refresh_on_connect", "responses", "revisions", "updates"),
     [
-        (False, [COMPLETE, DELTA, CLOSED, DELTA], ["1", "5", "6", "6", "6"], "full delta failed delta"),
-        (
+        pytest.param(
+            False,
+            [COMPLETE, DELTA, CLOSED, DELTA],
+            ["1", "5", "6", "6", "6"],
+            "full delta failed delta",
+            id="revision kept over connections",
+        ),
+        pytest.param(
             True,
             [COMPLETE, DELTA, CLOSED, COMPLETE, DELTA],
             ["", "5", "6", "", "5", "6"],
             "full delta failed full delta",
+            id="refreshed on each connection",
+        ),
+        pytest.param(
+            True,
+            [DELTA, COMPLETE],
+            ["", "", "5"],
+            "failed full",
+            id="delta in place of a complete list rejected",
         ),
-        (True, [DELTA, COMPLETE], ["", "", "5"], "failed full"),
     ],
-    ids=["held over connections", "refreshed on each", "delta in place of a complete list rejected"],
 )
-def test_watch_requests_changes_since_the_revision_held(refresh_on_connect, responses, revisions, updates):
-    async def main():
-        discovery = await ScriptedDiscovery(*responses).start()
-        kinds: list[UpdateKind] = []
-        watch = WatchClient(
-            parse_address(discovery.endpoint),
-            1,
-            WatchOptions(500.0, retries_forever=True, refresh_on_connect=refresh_on_connect),
-            lambda kind, _: kinds.append(kind),
-        )
-        watch.start()
-        await until(lambda: len(discovery.seen) == len(revisions))
-        watch.close()
-        discovery.stop()
+async def test_watch_requests_changes_since_its_revision(refresh_on_connect, responses, revisions, updates):
+    kinds: list[UpdateKind] = []
+    options = WatchOptions(500.0, retries_forever=True, refresh_on_connect=refresh_on_connect)
+    async with ScriptedDiscovery(*responses) as discovery:
+        address = parse_address(discovery.endpoint)
+        watch = WatchClient(address, 1, options, lambda kind, _: kinds.append(kind))
+        with contextlib.closing(watch):
+            watch.start()
+            await until(lambda: len(discovery.seen) == len(revisions))
         queries = [message.first[1].partition("?since=")[2].partition("&")[0] for message in discovery.seen]
-        assert queries == revisions
-        assert " ".join(kind.value for kind in kinds) == updates
-
-    asyncio.run(main())
+    assert queries == revisions
+    assert " ".join(kind.value for kind in kinds) == updates
--- a/tests/discovery/test_watch_timing.py
+++ b/tests/discovery/test_watch_timing.py
@@ -1,6 +1,6 @@
-"""How late a change is notified at the worst: a whole proxy against a discovery that is down, in model time.
+"""The longest delay of a notification: a complete proxy whose discovery fails, in model time.
 
-The proxy, its watch and its policy are the real ones.
+The proxy, its watch and its policy are those of the program.
 """
 
 from __future__ import annotations
@@ -11,10 +11,11 @@
 
 import pytest
 
-from loadbalancer.actions import StartWatch
-from loadbalancer.events import MembershipUpdate, TimerFired, UpdateKind
-from loadbalancer.proxy import proxy as proxy_module
+from loadbalancer.actions import Action, StartWatch
+from loadbalancer.events import Event, MembershipUpdate, TimerFired, UpdateKind
+from loadbalancer.policy.policy import LoadBalancingPolicy
 from loadbalancer.proxy import statistics
+from loadbalancer.proxy.proxy import Proxy
 from tests.support.builders import PolicyHarness, types
 from tests.support.loopback import config
 from tests.support.model_time import FAULTS, DiscoveryModel, run_in_model_time
@@ -25,34 +26,32 @@
 
 @dataclass(frozen=True)
 class Outage:
-    """When discovery goes down, and when it comes back: a while after so many failed attempts."""
+    """When discovery goes down, and when it is back: some time after a number of failed attempts."""
 
     place: str
     failed_attempts: int
     return_delay_s: float
 
 
-def make_proxy(mode: str, fault: str, rng: Random) -> tuple[proxy_module.Proxy, DiscoveryModel]:
+def make_proxy(mode: str, fault: str, rng: Random) -> tuple[Proxy, DiscoveryModel]:
     loop = asyncio.get_running_loop()
     loop.discovery = DiscoveryModel(fault, rng)
-    proxy = proxy_module.Proxy(
-        config("127.0.0.1:1", settings={"registryMode": mode}, seed=f"{rng.getrandbits(64):x}")
-    )
+    proxy = Proxy(config("127.0.0.1:1", settings={"registryMode": mode}, seed=f"{rng.getrandbits(64):x}"))
     return proxy, loop.discovery
 
 
 async def notification_delay(mode: str, fault: str, outage: Outage, rng: Random) -> float:
-    """Seconds from the return of discovery to the proxy's having the change."""
+    """Seconds from the return of discovery until the proxy has the change."""
     proxy, discovery = make_proxy(mode, fault, rng)
-    first_call = outage.place == "first call"
-    discovery.up = not first_call
+    at_start = outage.place == "first request"
+    discovery.up = not at_start
     await proxy.start()
-    if not first_call:
+    if not at_start:
         discovery.revision = 2
-        await discovery.wait_for_attempts(2)  # the second one waits its whole time
+        await discovery.wait_for_attempts(2)  # the second one waits its full time
         await asyncio.sleep(0.001)
         discovery.go_down()
-    await discovery.wait_for_attempts(outage.failed_attempts + first_call)
+    await discovery.wait_for_attempts(outage.failed_attempts + at_start)
     if outage.place == "after a change of address":
         await change_address(proxy, discovery, rng)
     await asyncio.sleep(outage.return_delay_s)
@@ -63,7 +62,7 @@
     return proxy.loop.time() - returned_at
 
 
-async def change_address(proxy: proxy_module.Proxy, discovery: DiscoveryModel, rng: Random) -> None:
+async def change_address(proxy: Proxy, discovery: DiscoveryModel, rng: Random) -> None:
     await asyncio.sleep(rng.uniform(0.0, 5.0))
     while not discovery.attempts.empty():
         discovery.attempts.get_nowait()
@@ -71,24 +70,35 @@
     await discovery.wait_for_attempts(1)
 
 
-async def notification_of(proxy: proxy_module.Proxy, endpoint: str) -> None:
-    """Wait for the update with which the policy gets this endpoint."""
-    notified = asyncio.Event()
-    on_update = proxy.watch_client._on_update
+class ObservedPolicy:
+    """A policy that sets an event once it has an endpoint of this name."""
+
+    def __init__(self, policy: LoadBalancingPolicy, endpoint: str) -> None:
+        self.notified = asyncio.Event()
+        self._policy = policy
+        self._endpoint = endpoint
 
-    def observe(kind, endpoint_list):
-        on_update(kind, endpoint_list)
-        if endpoint in proxy.policy.endpoints.by_name:
-            notified.set()
+    @property
+    def cursor(self) -> int:
+        return self._policy.cursor
 
-    proxy.watch_client._on_update = observe
-    await notified.wait()
+    def handle(self, now_ms: float, event: Event) -> list[Action]:
+        actions = self._policy.handle(now_ms, event)
+        if self._endpoint in self._policy.endpoints.by_name:
+            self.notified.set()
+        return actions
+
+
+async def notification_of(proxy: Proxy, endpoint: str) -> None:
+    """Wait for the update with which the policy gets this endpoint."""
+    proxy.policy = observed = ObservedPolicy(proxy.policy, endpoint)
+    await observed.notified.wait()
 
 
 def longest_notification_delay(mode: str, fault: str) -> tuple[float, Outage]:
     rng = Random(f"{mode} {fault}")
     delays = {}
-    for place in ("first call", "later call", "after a change of address"):
+    for place in ("first request", "later request", "after a change of address"):
         for failed_attempts in range(8):
             for return_delay_s in (0.001, rng.uniform(0.0, 5.0)):
                 outage = Outage(place, failed_attempts, return_delay_s)
@@ -100,8 +110,8 @@
 
 @MODES
 @pytest.mark.parametrize("fault", FAULTS)
-def test_change_is_notified_in_time_whatever_calls_failed_before(mode, fault, monkeypatch):
-    """Discovery comes back in the very moment after any attempt has gone out, or at a drawn one."""
+def test_change_is_notified_in_time_whatever_requests_failed_before(mode, fault, monkeypatch):
+    """Discovery is back immediately after an attempt has been sent, or at a random time."""
     monkeypatch.setattr(statistics, "HEARTBEAT_INTERVAL_S", 3600.0)
     delay_s, outage = longest_notification_delay(mode, fault)
     assert delay_s <= NOTIFICATION_LIMIT_S, f"notified {delay_s:.2f} s after discovery's return: {outage}"
@@ -118,13 +128,13 @@
 
 
 @MODES
-def test_watch_without_changes_makes_20_calls_a_minute(mode):
+def test_watch_without_changes_sends_20_requests_a_minute(mode):
     assert 20.0 <= run_in_model_time(attempts_per_minute(mode, "")) <= 20.5
 
 
 @pytest.mark.parametrize("fault", FAULTS)
 def test_polling_backs_off_while_discovery_is_down(fault):
-    """Backoffs grow, whatever share of the time budget the calls themselves take."""
+    """Backoffs grow, whatever part of the time budget the requests themselves take."""
     assert run_in_model_time(attempts_per_minute("ask", fault)) <= 21.0
 
 
@@ -137,22 +147,23 @@
     assert 2000.0 <= timer.delay_ms <= 4000.0
 
 
-@MODES
-def test_response_that_has_come_is_used_by_an_event_loop_that_is_late(mode):
-    """Its next turn, in which the response is read, comes after the limit of the call."""
+async def respond_to_a_late_event_loop(mode: str) -> Proxy:
+    """Let the loop's next turn, in which the response is read, start after the time limit of the request."""
+    proxy, discovery = make_proxy(mode, "", Random(1))
+    await proxy.start()
+    await discovery.wait_for_attempts(1)
+    discovery.revision = 2
+    ((transport, end_of_wait),) = discovery.waiting.items()
+    end_of_wait.cancel()
+    transport.write(discovery.list_response(complete=True))
+    proxy.loop.skip(60.0)
+    await discovery.wait_for_attempts(1)
+    proxy.close()
+    return proxy
 
-    async def main():
-        proxy, discovery = make_proxy(mode, "", Random(1))
-        await proxy.start()
-        await discovery.wait_for_attempts(1)
-        discovery.revision = 2
-        ((transport, end_of_wait),) = discovery.waiting.items()
-        end_of_wait.cancel()
-        transport.write(discovery.list_response(complete=True))
-        proxy.loop.skip(60.0)
-        await discovery.wait_for_attempts(1)
-        proxy.close()
-        assert proxy.statistics.endpoint_lists[UpdateKind.UNAVAILABLE] == 0
-        assert set(proxy.policy.endpoints.by_name) == {"s2"}
-
-    run_in_model_time(main())
+
+@MODES
+def test_response_that_has_arrived_is_used_by_an_event_loop_that_is_late(mode):
+    proxy = run_in_model_time(respond_to_a_late_event_loop(mode))
+    assert proxy.statistics.endpoint_lists[UpdateKind.UNAVAILABLE] == 0
+    assert set(proxy.policy.endpoints.by_name) == {"s2"}
--- a/tests/proxy/test_config.py
+++ b/tests/proxy/test_config.py
@@ -15,28 +15,27 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "field"),
+    ("changes", "field"),
     [
-        ({"listen": "nowhere"}, "listen"),
-        ({"discovery": "a.name:80"}, "discovery"),
-        ({"seed": "not hexadecimal"}, "seed"),
-        ({"known": []}, "known"),
-        ({"limits": {"sockets": 0}}, "sockets"),
-        ({"bounds": {"maxOpen": "many"}}, "maxOpen"),
+        pytest.param({"listen": "nowhere"}, "listen", id="listen"),
+        pytest.param({"discovery": "a.name:80"}, "discovery", id="discovery"),
+        pytest.param({"seed": "not hexadecimal"}, "seed", id="seed"),
+        pytest.param({"known": []}, "known", id="known"),
+        pytest.param({"limits": {"sockets": 0}}, "sockets", id="sockets"),
+        pytest.param({"bounds": {"maxOpen": "many"}}, "maxOpen", id="maxOpen"),
     ],
 )
-def test_error_names_the_field_at_fault(change, field):
-    row = config_document("127.0.0.1:1")
-    bounds = {"bounds": row["settings"]["bounds"] | change.pop("bounds", {})}
-    row |= {"settings": row["settings"] | bounds} | change
+def test_error_names_the_field_at_fault(changes, field):
+    document = config_document("127.0.0.1:1", bounds=changes.get("bounds", {}))
+    document |= {name: value for name, value in changes.items() if name != "bounds"}
     with pytest.raises(ConfigurationError) as error:
-        parse_config(orjson.dumps(row))
+        parse_config(orjson.dumps(document))
     assert error.value.field == field
 
 
 def test_error_names_a_missing_field():
-    row = config_document("127.0.0.1:1")
-    del row["discovery"]
+    document = config_document("127.0.0.1:1")
+    del document["discovery"]
     with pytest.raises(ConfigurationError) as error:
-        parse_config(orjson.dumps(row))
+        parse_config(orjson.dumps(document))
     assert error.value.field == "discovery"
--- a/tests/proxy/test_policy_events.py
+++ b/tests/proxy/test_policy_events.py
@@ -1,4 +1,4 @@
-"""The policy as the proxy hosts it: its faults, its timers, the requests that it forgets."""
+"""The policy as the proxy runs it: its faults, its timers, the requests that it leaves open."""
 
 from __future__ import annotations
 
@@ -7,12 +7,8 @@
 import pytest
 
 from loadbalancer.actions import Send, StartTimer
-from loadbalancer.events import (
-    AttemptOutcome,
-    ClientDisconnected,
-    IncomingRequest,
-    TimerFired,
-)
+from loadbalancer.events import AttemptOutcome, ClientDisconnected, IncomingRequest, TimerFired
+from loadbalancer.policy.policy import PERIOD_TIMER
 from loadbalancer.proxy import policy_runner
 from tests.support.loopback import (
     LoopbackServer,
@@ -24,101 +20,93 @@
     send_request,
     until,
 )
+from tests.support.proxy import answering
 
 
-@pytest.mark.parametrize("kind", [IncomingRequest, AttemptOutcome])
-def test_policy_fault_leaves_no_request_unanswered(kind):
-    async def main():
-        async with running_proxy(LoopbackServer(lambda message: asyncio.sleep(0, reply(500)))) as proxy:
-
-            def act(event):
-                if isinstance(event, kind):
-                    raise RuntimeError("broken")
-                return [Send(event.request_id, "s0")] if isinstance(event, IncomingRequest) else []
+@pytest.fixture
+async def proxy():
+    async with running_proxy(LoopbackServer()) as proxy:
+        yield proxy
 
-            proxy.policy = scripted = ScriptedPolicy(act)
-            assert (await send_request(proxy, request())).status == 500
-            assert scripted.events_of(ClientDisconnected)
-            assert not proxy.requests.by_id
-            assert proxy.listener.ready
-
-    asyncio.run(main())
 
+@pytest.mark.parametrize("kind", [IncomingRequest, AttemptOutcome])
+async def test_policy_fault_leaves_no_request_without_a_response(kind):
+    def act(event):
+        if isinstance(event, kind):
+            raise RuntimeError("broken")
+        return [Send(event.request_id, "s0")] if isinstance(event, IncomingRequest) else []
 
-def test_policy_fault_on_a_timer_does_not_stop_the_timer(monkeypatch):
-    async def main():
-        monkeypatch.setattr(policy_runner, "FAULT_RETRY_DELAY_S", 0.01)
+    async with running_proxy(answering(reply(500))) as proxy:
+        proxy.policy = scripted = ScriptedPolicy(act)
+        assert (await send_request(proxy, request())).status == 500
+        assert scripted.events_of(ClientDisconnected)
+        assert not proxy.requests.by_id
+        assert proxy.listener.ready
 
-        def act(event):
-            if isinstance(event, TimerFired) and len(scripted.events_of(TimerFired)) == 1:
-                raise RuntimeError("broken")
-            return []
 
-        async with running_proxy(LoopbackServer()) as proxy:
-            proxy.policy = scripted = ScriptedPolicy(act)
-            proxy.policy_runner.execute(StartTimer(1.0, "tick"))
-            await until(
-                lambda: len([event for event in scripted.events_of(TimerFired) if event.name == "tick"]) == 2
-            )
+async def test_policy_fault_on_a_timer_does_not_stop_the_timer(monkeypatch, proxy):
+    monkeypatch.setattr(policy_runner, "FAULT_RETRY_DELAY_S", 0.01)
 
-    asyncio.run(main())
+    def act(event):
+        if isinstance(event, TimerFired) and len(scripted.events_of(TimerFired)) == 1:
+            raise RuntimeError("broken")
+        return []
 
+    proxy.policy = scripted = ScriptedPolicy(act)
+    proxy.policy_runner.execute(StartTimer(1.0, "tick"))
+    await until(lambda: [event.name for event in scripted.events_of(TimerFired)].count("tick") == 2)
 
-def test_request_that_the_policy_forgets_is_answered_at_its_deadline():
-    async def main():
-        async with running_proxy(LoopbackServer()) as proxy:
-            proxy.policy = scripted = ScriptedPolicy()
-            assert (await send_request(proxy, request(Req_Deadline_Ms="200"))).status == 504
-            assert [event.request_id for event in scripted.events_of(ClientDisconnected)] == ["q1"]
 
-    asyncio.run(main())
+async def test_request_that_the_policy_leaves_open_fails_at_its_deadline(proxy):
+    proxy.policy = scripted = ScriptedPolicy()
+    assert (await send_request(proxy, request(Req_Deadline_Ms="200"))).status == 504
+    assert [event.request_id for event in scripted.events_of(ClientDisconnected)] == ["q1"]
 
 
-class ShiftedLoop:
-    """The event loop as the proxy sees it, with a clock that a test moves on."""
+class SkippingEventLoop(asyncio.SelectorEventLoop):
+    """An event loop whose clock a test advances."""
 
-    def __init__(self, loop):
-        self.loop = loop
-        self.shift = 0.0
+    def __init__(self):
+        self.skipped_s = 0.0
+        super().__init__()
 
     def time(self):
-        return self.loop.time() + self.shift
-
-    def __getattr__(self, name):
-        return getattr(self.loop, name)
-
-
-def test_cursor_step_is_given_time_to_show_in_the_latencies():
-    """Guard: each period stepped right on answers from before, and what servers bore was refused."""
-
-    async def main():
-        server = StalledBackend()
-        async with running_proxy(server) as proxy:
-            proxy.policy_runner._forwarder._loop = clock = ShiftedLoop(proxy.loop)
-
-            async def calls(count, latency_s):
-                """So many responses with this latency, and the end of the policy's period."""
-                seen, clock.shift = len(server.seen), 0.0
-                server.release.clear()
-                names = [f"q{seen + at}" for at in range(count)]
-                asked = asyncio.gather(*(send_request(proxy, request("read", name)) for name in names))
-                await until(lambda: len(server.seen) == seen + count)
-                clock.shift = latency_s
-                server.release.set()
-                assert [answer.status for answer in await asked] == [200] * count
-                proxy.policy_runner.notify(TimerFired("period"))
-                proxy.policy_runner.cancel_timer("period")  # the next one ends when the test says so
-
-            proxy.policy_runner.cancel_timer("period")
-            for _ in range(3):
-                await calls(8, 0.0)
-            assert proxy.policy.cursor == 0
-            for _ in range(12):
-                await calls(8, 10.0)  # half of what is wanted: too slow, and no jam
-            assert 0 < proxy.policy.cursor <= 12 * 8 / 20
-            high = proxy.policy.cursor
-            for _ in range(6):
-                await calls(8, 0.0)
-            assert proxy.policy.cursor < high  # back left it waits for nothing
-
-    asyncio.run(main())
+        return super().time() + self.skipped_s
+
+
+BATCH_SIZE = 8
+
+
+async def complete_batch(proxy, backend, latency_s):
+    """Have a batch of requests served with this latency, and end the policy's period."""
+    seen = len(backend.seen)
+    backend.release.clear()
+    requests = [request("read", f"q{seen + index}") for index in range(BATCH_SIZE)]
+    responses = asyncio.gather(*(send_request(proxy, data) for data in requests))
+    await until(lambda: len(backend.seen) == seen + BATCH_SIZE)
+    proxy.loop.skipped_s += latency_s
+    backend.release.set()
+    assert [response.status for response in await responses] == [200] * BATCH_SIZE
+    proxy.policy_runner.notify(TimerFired(PERIOD_TIMER))
+    proxy.policy_runner.cancel_timer(PERIOD_TIMER)  # the next period ends when the test says so
+
+
+async def move_cursor_right_and_back():
+    async with running_proxy(backend := StalledBackend()) as proxy:
+        proxy.policy_runner.cancel_timer(PERIOD_TIMER)
+        for _ in range(3):
+            await complete_batch(proxy, backend, 0.0)
+        assert proxy.policy.cursor == 0
+        for _ in range(12):
+            await complete_batch(proxy, backend, 10.0)  # half of the objective: too slow, but not saturated
+        highest = proxy.policy.cursor
+        assert 0 < highest <= 12 * BATCH_SIZE / 20
+        for _ in range(6):
+            await complete_batch(proxy, backend, 0.0)
+        assert proxy.policy.cursor < highest  # a move back to the left waits for nothing
+
+
+def test_cursor_move_waits_until_its_effect_shows_in_the_latencies():
+    """Otherwise every period moves right on responses from before, and sustainable load is rejected."""
+    with asyncio.Runner(loop_factory=SkippingEventLoop) as runner:
+        runner.run(move_cursor_right_and_back())
--- a/tests/proxy/test_statistics.py
+++ b/tests/proxy/test_statistics.py
@@ -1,9 +1,7 @@
-"""Counters: their names in the log line, and when they begin again."""
+"""Counters: their names in the log line, and when they are set to zero."""
 
 from __future__ import annotations
 
-import asyncio
-
 from loadbalancer.events import UpdateKind
 from loadbalancer.proxy import statistics as statistics_module
 from loadbalancer.proxy.statistics import Gauges, Statistics, StatisticsLog
@@ -24,21 +22,16 @@
     }
 
 
-def test_log_line_has_counters_and_gauges_and_resets_the_counters(monkeypatch, caplog):
-    monkeypatch.setattr(statistics_module, "HEARTBEAT_INTERVAL_S", 3600.0)
-    monkeypatch.setattr(statistics_module, "LOG_INTERVAL_S", 3600.0)
-
-    async def main() -> Statistics:
-        statistics = Statistics()
-        statistics.missed_deadlines = 1
-        log = StatisticsLog("n0", statistics, lambda: Gauges(7, 0, 0, 0))
+async def test_log_line_has_counters_and_gauges_and_resets_the_counters(caplog):
+    statistics = Statistics()
+    statistics.missed_deadlines = 1
+    gauges = Gauges(open_requests=7, cursor=2, downstream_connections=8, upstream_connections=9)
+    log = StatisticsLog("n0", statistics, lambda: gauges)
+    with caplog.at_level("INFO", logger=statistics_module.logger.name):
         log.start()
         log.close()
-        return statistics
-
-    with caplog.at_level("INFO", logger=statistics_module.logger.name):
-        statistics = asyncio.run(main())
     (line,) = [record.getMessage() for record in caplog.records]
     assert line.startswith("statistics name=n0 ")
     assert {"missed_deadlines=1", "open_requests=7", "requests_received=0"} <= set(line.split())
+    assert line.endswith(" open_requests=7 cursor=2 downstream_connections=8 upstream_connections=9")
     assert statistics.missed_deadlines == 0
--- a/tests/support/proxy.py
+++ b/tests/support/proxy.py
@@ -5,28 +5,19 @@
 import asyncio
 import contextlib
 import socket
-from collections.abc import Callable, Iterator
+from collections.abc import AsyncIterator, Callable, Iterator
 
 from loadbalancer.actions import Action, Fail, Send
-from loadbalancer.events import (
-    AttemptOutcome,
-    AttemptResult,
-    Event,
-    IncomingRequest,
-)
+from loadbalancer.events import AttemptOutcome, AttemptResult, Event, IncomingRequest
 from loadbalancer.http.addresses import Address
 from loadbalancer.http.client_connection import ClientConnection, HttpResponse
 from loadbalancer.proxy.connection_pool import ConnectionPool
 from loadbalancer.proxy.proxy import Proxy
 from loadbalancer.proxy.upstream_attempt import UpstreamAttempt
-from tests.support.loopback import (
-    LoopbackServer,
-    Message,
-)
+from tests.support.loopback import LoopbackServer, Message, until
 
 OnResult = Callable[[AttemptResult, HttpResponse | None], object]
 
-
 REQUEST_BYTES = b"GET /read/1 HTTP/1.1\r\nReq-Id: q\r\n\r\n"
 
 
@@ -121,6 +112,19 @@
     return ConnectionPool(limit, endpoint_idle_timeout_s, connect_timeout_s)
 
 
+@contextlib.asynccontextmanager
+async def open_pool(
+    limit: int = 10, endpoint_idle_timeout_s: float = 10.0, connect_timeout_s: float = 20.0
+) -> AsyncIterator[ConnectionPool]:
+    """A connection pool that is closed, with all its connections, at the end of the context."""
+    pool = make_pool(limit, endpoint_idle_timeout_s, connect_timeout_s)
+    try:
+        yield pool
+    finally:
+        pool.close()
+        await until(lambda: pool.size == 0)
+
+
 def answering(response: bytes | None) -> LoopbackServer:
     """A server with one response to every request; None closes the connection."""
 
