--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -38,12 +38,12 @@
 
 async def serve() -> int:
     """Run the proxy until SIGTERM or SIGINT and return its exit code; SIGHUP reloads the configuration."""
-    stop, hangup = asyncio.Event(), asyncio.Event()
+    stop_requested, reload_requested = asyncio.Event(), asyncio.Event()
     loop = asyncio.get_running_loop()
     # Guard: SIGHUP ends a process that has no handler for it, so the handlers come before anything slow.
-    loop.add_signal_handler(signal.SIGHUP, hangup.set)
+    loop.add_signal_handler(signal.SIGHUP, reload_requested.set)
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+        loop.add_signal_handler(number, stop_requested.set)
     try:
         config = read_config()
     except (OSError, ValueError) as error:
@@ -51,23 +51,23 @@
         return EXIT_BAD_CONFIGURATION
     proxy = Proxy(config)
     await proxy.start()
-    reloading = asyncio.create_task(_reload(proxy, hangup))
+    reloading = asyncio.create_task(_reload(proxy, reload_requested))
     # Objects of the start live as long as the process, so the garbage collector need not visit them again. A
     # collection before this costs a twelfth of a start's processor time and finds 16 objects.
     gc.freeze()
     logger.info("proxy serving name=%s address=%s:%d", config.name, *proxy.listener.address)
-    await stop.wait()
+    await stop_requested.wait()
     logger.info("proxy stopping name=%s", config.name)
     await shut_down(proxy)  # the watch goes on meanwhile, so that attempts follow the current endpoint list
     reloading.cancel()
     return EXIT_OK
 
 
-async def _reload(proxy: Proxy, hangup: asyncio.Event) -> None:
+async def _reload(proxy: Proxy, requested: asyncio.Event) -> None:
     """Reload the configuration at each SIGHUP; an invalid file leaves the current one in force."""
     while True:
-        await hangup.wait()
-        hangup.clear()
+        await requested.wait()
+        requested.clear()
         try:
             config = read_config()
         except (OSError, ValueError) as error:
--- a/loadbalancer/proxy/policy_runner.py
+++ b/loadbalancer/proxy/policy_runner.py
@@ -1,4 +1,4 @@
-"""Runs the policy: gives it one event at a time, carries out its actions and keeps its timers."""
+"""Runs the policy: gives it one event at a time, carries out its actions and runs its timers."""
 
 from __future__ import annotations
 
@@ -104,7 +104,7 @@
             return self.policy.handle(self._clock.now_ms(), event)
         except Exception:
             # Guard: an exception of the policy would leave clients without a final response and stop the
-            # policy's timers. The proxy completes the event itself and goes on with the next one.
+            # policy's timers. The runner completes the event itself and goes on with the next one.
             logger.exception("policy fault event=%s", type(event).__name__)
             self._statistics.policy_faults += 1
             self._recover(event)
@@ -121,7 +121,7 @@
                 self._loop.call_later(FAULT_RETRY_DELAY_S, self._start_watch)
 
     def _fail_without_attempts(self, request_id: str) -> None:
-        """Fail a request of which no attempt is in flight: the policy will not be asked about it again."""
+        """Fail an open request that has no attempt in flight, as no further event would end it."""
         pending = self.requests.get(request_id)
         if pending is None or pending.ended or pending.attempts_in_flight:
             return
--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -97,10 +97,10 @@
         self._statistics_log.start()
 
     def reconfigure(self, config: Config) -> None:
-        """Apply what can change while the proxy runs, the address of discovery; log that the rest waits."""
+        """Apply a new address of discovery; log a warning if anything else has changed."""
         self.config = replace(self.config, discovery=config.discovery)
-        # Guard: a backoff timer set before the change of address can fire during the watch request after it,
-        # and the policy would take its end for a due retry. The timer is cancelled.
+        # Guard: a backoff timer from before the change of address can fire during the first watch request
+        # after it, and the policy would count that request as started at that moment. It is cancelled.
         self.policy_runner.cancel_timer(WATCH_TIMER)
         self.watch_client.reconnect_to(config.discovery)
         logger.info("discovery address set name=%s address=%s:%d", self.config.name, *config.discovery)
--- a/loadbalancer/proxy/request_parsing.py
+++ b/loadbalancer/proxy/request_parsing.py
@@ -55,7 +55,8 @@
     """
     headers = http_request.headers
     service_class = _service_class(http_request, service_classes)
-    request_id = _request_id(http_request, service_class)
+    request_id = _request_id(headers)
+    _check_idempotency(http_request, service_class)
     if request_id in open_request_ids:
         raise BadRequestError(HTTPStatus.BAD_REQUEST, "req-id")
     deadline_s = _deadline_s(http_request, service_class)
@@ -75,7 +76,7 @@
 
 
 def _service_class(http_request: HttpRequest, service_classes: Mapping[str, ServiceClass]) -> ServiceClass:
-    """The class that the first path segment names, after a check of the method against it."""
+    """The class that the first path segment names, if it allows the request's method."""
     segments = http_request.target.partition(b"?")[0].split(b"/")
     name = segments[1] if len(segments) > 1 else b""
     if b"%" in name:
@@ -90,17 +91,21 @@
     return service_class
 
 
-def _request_id(http_request: HttpRequest, service_class: ServiceClass) -> str:
-    """The request's id, after a check of what its class requires and forbids."""
-    headers = http_request.headers
+def _request_id(headers: dict[bytes, bytes]) -> str:
+    """The request's id."""
     request_id = headers.get(ID_HEADER, b"").decode("latin-1")
     if not REQUEST_ID.fullmatch(request_id):
         raise BadRequestError(HTTPStatus.BAD_REQUEST, "req-id")
-    if service_class.idempotency is Idempotency.KEYED and IDEMPOTENCY_KEY_HEADER not in headers:
+    return request_id
+
+
+def _check_idempotency(http_request: HttpRequest, service_class: ServiceClass) -> None:
+    """Check that a keyed request has its key, and that an idempotent one has no body."""
+    idempotency = service_class.idempotency
+    if idempotency is Idempotency.KEYED and IDEMPOTENCY_KEY_HEADER not in http_request.headers:
         raise BadRequestError(HTTPStatus.BAD_REQUEST, "idempotency-key")
-    if service_class.idempotency is Idempotency.IDEMPOTENT and http_request.body:
+    if idempotency is Idempotency.IDEMPOTENT and http_request.body:
         raise BadRequestError(HTTPStatus.BAD_REQUEST, "body")
-    return request_id
 
 
 def _deadline_s(http_request: HttpRequest, service_class: ServiceClass) -> float:
