--- a/loadbalancer/proxy/statistics.py
+++ b/loadbalancer/proxy/statistics.py
@@ -82,13 +82,29 @@
 
 
 class Gauges(NamedTuple):
-    """Values of the moment, under their names in the log."""
+    """Values of the moment.
+
+    Attributes:
+        open_requests: requests without a final response.
+        cursor: the position of the policy's cursor; 0 admits the most.
+        downstream_connections: open connections from clients.
+        upstream_connections: connections to endpoints that are open or being established.
+    """
 
     open_requests: int
     cursor: int
     downstream_connections: int
     upstream_connections: int
 
+    def fields(self) -> dict[str, int]:
+        """Each gauge by its name in the log."""
+        return {
+            "open_requests": self.open_requests,
+            "cursor": self.cursor,
+            "downstream_connections": self.downstream_connections,
+            "upstream_connections": self.upstream_connections,
+        }
+
 
 class StatisticsLog:
     """Logs the counters, and the gauges of that moment, every `LOG_INTERVAL_S`; then resets the counters."""
@@ -120,7 +136,7 @@
         self._heartbeat = self._loop.call_at(next_s, self._on_heartbeat, next_s)
 
     def _log_statistics(self) -> None:
-        fields = self._statistics.fields() | self._gauges()._asdict()
+        fields = self._statistics.fields() | self._gauges().fields()
         values = " ".join(f"{name}={value}" for name, value in fields.items())
         logger.info("statistics name=%s %s", self._name, values)
         self._statistics.reset()
