--- a/tests/proxy/test_connection_state.py
+++ b/tests/proxy/test_connection_state.py
@@ -41,51 +41,42 @@
         connection.abort()
 
 
-def test_write_that_fails_at_once_has_not_been_written():
-    async def main():
-        async with connected_pair() as (connection, peer):
-            peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            peer.close()
-            while not has_unread_data(connection._transport):
-                pass
-            exchange = RecordingExchange()
-            connection.send_request(REQUEST_BYTES, exchange)
-            await until(lambda: exchange.outcomes)
-            assert exchange.outcomes == [False]
-
-    asyncio.run(main())
-
-
-def test_unread_end_of_stream_makes_a_connection_unusable():
-    async def main():
-        async with connected_pair() as (connection, peer):
-            assert connection.reusable
-            peer.close()
-            while not has_unread_data(connection._transport):
-                pass
-            assert not connection.reusable  # the event loop has had no turn to say so
-
-    asyncio.run(main())
+async def test_write_that_fails_at_once_has_not_been_written():
+    async with connected_pair() as (connection, peer):
+        peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        peer.close()
+        while not has_unread_data(connection._transport):
+            pass
+        exchange = RecordingExchange()
+        connection.send_request(REQUEST_BYTES, exchange)
+        await until(lambda: exchange.outcomes)
+        assert exchange.outcomes == [False]
+
+
+async def test_unread_end_of_stream_makes_a_connection_unusable():
+    async with connected_pair() as (connection, peer):
+        assert connection.reusable
+        peer.close()
+        while not has_unread_data(connection._transport):
+            pass
+        assert not connection.reusable  # the event loop has had no turn to say so
 
 
 @pytest.mark.parametrize("read", [False, True])
-def test_buffered_request_counts_as_written_once_it_has_left(read):
-    async def main():
-        async with connected_pair() as (connection, peer):
-            transport = connection._transport
-            transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1)
-            while not transport.get_write_buffer_size():  # until the kernel takes no more
-                transport.write(b"x" * 1000)
-            connection.send_request(REQUEST_BYTES, exchange := RecordingExchange())
-            assert 0 < transport.get_write_buffer_size() <= 1000 + len(REQUEST_BYTES)
-            peer.setblocking(False)
-            while read and transport.get_write_buffer_size():
-                with contextlib.suppress(BlockingIOError):
-                    peer.recv(1_000_000)
-                await asyncio.sleep(0)
-            peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            peer.close()
-            await until(lambda: exchange.outcomes)
-            assert exchange.outcomes == [read]
-
-    asyncio.run(main())
+async def test_buffered_request_counts_as_written_once_it_has_left(read):
+    async with connected_pair() as (connection, peer):
+        transport = connection._transport
+        transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1)
+        while not transport.get_write_buffer_size():  # until the kernel takes no more
+            transport.write(b"x" * 1000)
+        connection.send_request(REQUEST_BYTES, exchange := RecordingExchange())
+        assert 0 < transport.get_write_buffer_size() <= 1000 + len(REQUEST_BYTES)
+        peer.setblocking(False)
+        while read and transport.get_write_buffer_size():
+            with contextlib.suppress(BlockingIOError):
+                peer.recv(1_000_000)
+            await asyncio.sleep(0)
+        peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        peer.close()
+        await until(lambda: exchange.outcomes)
+        assert exchange.outcomes == [read]
--- a/tests/proxy/test_forwarding.py
+++ b/tests/proxy/test_forwarding.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-import asyncio
-
 import pytest
 
 from loadbalancer.actions import Fail, Reject, Send
@@ -32,191 +30,161 @@
 )
 
 
-def test_request_is_forwarded_unchanged_and_its_response_returned():
-    async def main():
-        async def script(message):
-            return reply(200, b"posted", Srv_Load="TEXT inflight=7, queue=3, util=0.61")
-
-        server = LoopbackServer(script)
-        async with running_proxy(server) as proxy:
-            answer = await send_request(
-                proxy, request("post", "q7", b'{"a":1}', Req_Deadline_Ms="9000", Idempotency_Key="k1")
-            )
-            assert (answer.status, answer.body) == (200, b"posted")
-            seen = server.seen[0]
-            assert seen.first == ["POST", "/post/7f3a?x=1", "HTTP/1.1"]
-            assert seen.body == b'{"a":1}'
-            assert (seen.headers["req-id"], seen.headers["idempotency-key"]) == ("q7", "k1")
-            assert 0 < int(seen.headers["req-deadline-ms"]) < 9000
-            assert proxy.policy.endpoints.by_name["s0"].reported_queue == 3
-            assert proxy.requests.by_id == {}
+async def test_request_is_forwarded_unchanged_and_its_response_returned():
+    async def script(message):
+        return reply(200, b"posted", Srv_Load="TEXT inflight=7, queue=3, util=0.61")
 
-    asyncio.run(main())
+    server = LoopbackServer(script)
+    async with running_proxy(server) as proxy:
+        answer = await send_request(
+            proxy, request("post", "q7", b'{"a":1}', Req_Deadline_Ms="9000", Idempotency_Key="k1")
+        )
+        assert (answer.status, answer.body) == (200, b"posted")
+        seen = server.seen[0]
+        assert seen.first == ["POST", "/post/7f3a?x=1", "HTTP/1.1"]
+        assert seen.body == b'{"a":1}'
+        assert (seen.headers["req-id"], seen.headers["idempotency-key"]) == ("q7", "k1")
+        assert 0 < int(seen.headers["req-deadline-ms"]) < 9000
+        assert proxy.policy.endpoints.by_name["s0"].reported_queue == 3
+        assert proxy.requests.by_id == {}
 
 
 @pytest.mark.parametrize("kind", ["post", "read"])
-def test_only_the_policy_retries(kind, monkeypatch):
-    async def main():
-        monkeypatch.setattr("loadbalancer.proxy.connection_pool.REUSE_DELAY_S", 0.0)
-
-        async def script(message):
-            return None if len(server.seen) == 2 else reply()
-
-        server = LoopbackServer(script)
-        async with running_proxy(server) as proxy:
-            proxy.policy = scripted = ScriptedPolicy(policy_sending_to("s0"))
-            assert (await send_request(proxy, request(kind, "q1"))).status == 200
-            assert (await send_request(proxy, request(kind, "q2"))).status == 502  # on the pooled connection
-            assert (server.connections, len(server.seen)) == (1, 2)
-            assert [event.result for event in scripted.events_of(AttemptOutcome)] == [
-                AttemptResult.OK,
-                AttemptResult.RESET,
-            ]
-
-    asyncio.run(main())
-
-
-def test_non_idempotent_request_is_retried_after_a_rejection_only():
-    async def main():
-        async def script(message):
-            return reply(503, Srv_Declined="1") if message.headers["req-id"] == "q1" else reply(500)
-
-        first, second = LoopbackServer(script), LoopbackServer(script)
-        async with running_proxy(first, second) as proxy:
-            assert (await send_request(proxy, request("post", "q1"))).status == 503
-            assert len(first.seen) == len(second.seen) == 1
-            assert (await send_request(proxy, request("post", "q2"))).status == 502
-            assert len(first.seen) + len(second.seen) == 3
-
-    asyncio.run(main())
-
-
-def test_attempt_past_the_maximum_or_of_an_ended_request_is_not_sent():
-    async def main():
-        async def script(message):
-            return reply(500)
-
-        server = LoopbackServer(script)
-        async with running_proxy(server) as proxy:
-
-            def act(event):
-                not_sent = isinstance(event, AttemptOutcome) and event.result is AttemptResult.NOT_SENT
-                if isinstance(event, IncomingRequest | AttemptOutcome):
-                    return [Fail(event.request_id)] if not_sent else [Send(event.request_id, "s0")]
-                return []
-
-            proxy.policy = scripted = ScriptedPolicy(act)
-            assert (await send_request(proxy, request())).status == 502
-            assert len(server.seen) == 3
-            outcomes = scripted.events_of(AttemptOutcome)
-            assert [event.attempt for event in outcomes] == [0, 1, 2, 3]
-            assert outcomes[-1].result is AttemptResult.NOT_SENT
-            proxy.policy = scripted = ScriptedPolicy()
-            proxy._execute(Send("q1", "s0"))
-            assert [(event.result, event.done) for event in scripted.events_of(AttemptOutcome)] == [
-                (AttemptResult.NOT_SENT, True)
-            ]
-            assert len(server.seen) == 3
-
-    asyncio.run(main())
-
-
-def test_attempt_of_a_disconnected_client_still_has_its_outcome():
-    async def main():
-        server = StalledBackend()
-        async with running_proxy(server) as proxy:
-            client = await HttpClient.to(proxy)
-            client.writer.write(request())
-            await until(lambda: server.seen)
-            assert proxy.policy.endpoints.by_name["s0"].in_flight == 1.0
-            client.writer.close()
-            await until(lambda: not proxy.requests.by_id)
-            await until(lambda: proxy.policy.endpoints.by_name["s0"].in_flight == 0.0)
-            assert proxy.requests.open_count == 0
-
-    asyncio.run(main())
-
-
-def test_slower_hedged_request_has_its_outcome_after_the_request_has_ended():
-    async def main():
-        server = StalledBackend()
-        async with running_proxy(server, LoopbackServer()) as proxy:
-
-            def act(event):
-                if isinstance(event, IncomingRequest):
-                    return [Send(event.request_id, "s0"), Send(event.request_id, "s1")]
-                return []
-
-            proxy.policy = scripted = ScriptedPolicy(act)
-            assert (await send_request(proxy, request())).body == b"done"
-            server.release.set()
-            await until(lambda: not proxy.requests.by_id)
-            outcomes = scripted.events_of(AttemptOutcome)
-            assert [(event.attempt, event.done) for event in outcomes] == [(1, True), (0, True)]
-
-    asyncio.run(main())
-
-
-def test_attempt_ends_before_the_deadline_whatever_its_timeout():
-    async def main():
-        async with running_proxy(StalledBackend()) as proxy:
-
-            def act(event):
-                if isinstance(event, IncomingRequest):
-                    return [Send(event.request_id, "s0", 60_000.0)]
-                return [Fail(event.request_id)] if isinstance(event, AttemptOutcome) else []
-
-            proxy.policy = scripted = ScriptedPolicy(act)
-            assert (await send_request(proxy, request(Req_Deadline_Ms="300"))).status == 504
-            # The policy answered its timeout before the proxy's backstop did.
-            assert [event.result for event in scripted.events_of(AttemptOutcome)] == [AttemptResult.TIMEOUT]
-            assert not scripted.events_of(ClientDisconnected)
-
-    asyncio.run(main())
-
-
-def test_attempt_past_the_deadline_is_not_sent_and_touches_no_socket():
-    async def main():
-        server = LoopbackServer()
-        async with running_proxy(server) as proxy:
-
-            def act(event):
-                if isinstance(event, IncomingRequest):
-                    return [Send(event.request_id, "s0"), Send(event.request_id, "s0")]
-                return [Reject(event.request_id)] if isinstance(event, AttemptOutcome) else []
-
-            proxy.policy = scripted = ScriptedPolicy(act)
-            assert (await send_request(proxy, request(Req_Deadline_Ms="0"))).status == 503
-            outcomes = [(event.result, event.attempt) for event in scripted.events_of(AttemptOutcome)]
-            assert outcomes == [(AttemptResult.NOT_SENT, 0), (AttemptResult.NOT_SENT, 1)]
-            assert server.connections == 0
-
-    asyncio.run(main())
-
-
-def test_connections_from_before_an_endpoints_restart_are_not_reused(monkeypatch):
-    async def main():
-        monkeypatch.setattr("loadbalancer.proxy.connection_pool.REUSE_DELAY_S", 0.0)
-        server = LoopbackServer()
-        async with running_proxy(server) as proxy:
-            assert (await send_request(proxy, request(name="q1"))).status == 200
-            endpoints = {"s0": ("127.0.0.1", server.port)}
-            for launched in (5.0, 5.0):
-                row = EndpointList(9, False, (Endpoint("s0", started_ms=launched),), endpoints)
-                proxy._on_endpoint_list(UpdateKind.DELTA, row)
-                assert (await send_request(proxy, request(name="q2"))).status == 200
-            assert server.connections == 2
-
-    asyncio.run(main())
-
-
-def test_attempt_to_an_endpoint_that_is_not_in_the_pool_is_connect_failed():
-    async def main():
-        async with running_proxy(LoopbackServer()) as proxy:
-            proxy.policy = scripted = ScriptedPolicy(policy_sending_to("unknown"))
-            assert (await send_request(proxy, request())).status == 502
-            (outcome,) = scripted.events_of(AttemptOutcome)
-            assert (outcome.result, outcome.done) == (AttemptResult.CONNECT_FAILED, False)
-            assert not proxy.requests.by_id
-
-    asyncio.run(main())
+async def test_only_the_policy_retries(kind, monkeypatch):
+    monkeypatch.setattr("loadbalancer.proxy.connection_pool.REUSE_DELAY_S", 0.0)
+
+    async def script(message):
+        return None if len(server.seen) == 2 else reply()
+
+    server = LoopbackServer(script)
+    async with running_proxy(server) as proxy:
+        proxy.policy = scripted = ScriptedPolicy(policy_sending_to("s0"))
+        assert (await send_request(proxy, request(kind, "q1"))).status == 200
+        assert (await send_request(proxy, request(kind, "q2"))).status == 502  # on the pooled connection
+        assert (server.connections, len(server.seen)) == (1, 2)
+        assert [event.result for event in scripted.events_of(AttemptOutcome)] == [
+            AttemptResult.OK,
+            AttemptResult.RESET,
+        ]
+
+
+async def test_non_idempotent_request_is_retried_after_a_rejection_only():
+    async def script(message):
+        return reply(503, Srv_Declined="1") if message.headers["req-id"] == "q1" else reply(500)
+
+    first, second = LoopbackServer(script), LoopbackServer(script)
+    async with running_proxy(first, second) as proxy:
+        assert (await send_request(proxy, request("post", "q1"))).status == 503
+        assert len(first.seen) == len(second.seen) == 1
+        assert (await send_request(proxy, request("post", "q2"))).status == 502
+        assert len(first.seen) + len(second.seen) == 3
+
+
+async def test_attempt_past_the_maximum_or_of_an_ended_request_is_not_sent():
+    async def script(message):
+        return reply(500)
+
+    server = LoopbackServer(script)
+    async with running_proxy(server) as proxy:
+
+        def act(event):
+            not_sent = isinstance(event, AttemptOutcome) and event.result is AttemptResult.NOT_SENT
+            if isinstance(event, IncomingRequest | AttemptOutcome):
+                return [Fail(event.request_id)] if not_sent else [Send(event.request_id, "s0")]
+            return []
+
+        proxy.policy = scripted = ScriptedPolicy(act)
+        assert (await send_request(proxy, request())).status == 502
+        assert len(server.seen) == 3
+        outcomes = scripted.events_of(AttemptOutcome)
+        assert [event.attempt for event in outcomes] == [0, 1, 2, 3]
+        assert outcomes[-1].result is AttemptResult.NOT_SENT
+        proxy.policy = scripted = ScriptedPolicy()
+        proxy._execute(Send("q1", "s0"))
+        assert [(event.result, event.done) for event in scripted.events_of(AttemptOutcome)] == [
+            (AttemptResult.NOT_SENT, True)
+        ]
+        assert len(server.seen) == 3
+
+
+async def test_attempt_of_a_disconnected_client_still_has_its_outcome():
+    server = StalledBackend()
+    async with running_proxy(server) as proxy:
+        client = await HttpClient.to(proxy)
+        client.writer.write(request())
+        await until(lambda: server.seen)
+        assert proxy.policy.endpoints.by_name["s0"].in_flight == 1.0
+        client.writer.close()
+        await until(lambda: not proxy.requests.by_id)
+        await until(lambda: proxy.policy.endpoints.by_name["s0"].in_flight == 0.0)
+        assert proxy.requests.open_count == 0
+
+
+async def test_slower_hedged_request_has_its_outcome_after_the_request_has_ended():
+    server = StalledBackend()
+    async with running_proxy(server, LoopbackServer()) as proxy:
+
+        def act(event):
+            if isinstance(event, IncomingRequest):
+                return [Send(event.request_id, "s0"), Send(event.request_id, "s1")]
+            return []
+
+        proxy.policy = scripted = ScriptedPolicy(act)
+        assert (await send_request(proxy, request())).body == b"done"
+        server.release.set()
+        await until(lambda: not proxy.requests.by_id)
+        outcomes = scripted.events_of(AttemptOutcome)
+        assert [(event.attempt, event.done) for event in outcomes] == [(1, True), (0, True)]
+
+
+async def test_attempt_ends_before_the_deadline_whatever_its_timeout():
+    async with running_proxy(StalledBackend()) as proxy:
+
+        def act(event):
+            if isinstance(event, IncomingRequest):
+                return [Send(event.request_id, "s0", 60_000.0)]
+            return [Fail(event.request_id)] if isinstance(event, AttemptOutcome) else []
+
+        proxy.policy = scripted = ScriptedPolicy(act)
+        assert (await send_request(proxy, request(Req_Deadline_Ms="300"))).status == 504
+        # The policy answered its timeout before the proxy's backstop did.
+        assert [event.result for event in scripted.events_of(AttemptOutcome)] == [AttemptResult.TIMEOUT]
+        assert not scripted.events_of(ClientDisconnected)
+
+
+async def test_attempt_past_the_deadline_is_not_sent_and_touches_no_socket():
+    server = LoopbackServer()
+    async with running_proxy(server) as proxy:
+
+        def act(event):
+            if isinstance(event, IncomingRequest):
+                return [Send(event.request_id, "s0"), Send(event.request_id, "s0")]
+            return [Reject(event.request_id)] if isinstance(event, AttemptOutcome) else []
+
+        proxy.policy = scripted = ScriptedPolicy(act)
+        assert (await send_request(proxy, request(Req_Deadline_Ms="0"))).status == 503
+        outcomes = [(event.result, event.attempt) for event in scripted.events_of(AttemptOutcome)]
+        assert outcomes == [(AttemptResult.NOT_SENT, 0), (AttemptResult.NOT_SENT, 1)]
+        assert server.connections == 0
+
+
+async def test_connections_from_before_an_endpoints_restart_are_not_reused(monkeypatch):
+    monkeypatch.setattr("loadbalancer.proxy.connection_pool.REUSE_DELAY_S", 0.0)
+    server = LoopbackServer()
+    async with running_proxy(server) as proxy:
+        assert (await send_request(proxy, request(name="q1"))).status == 200
+        endpoints = {"s0": ("127.0.0.1", server.port)}
+        for launched in (5.0, 5.0):
+            row = EndpointList(9, False, (Endpoint("s0", started_ms=launched),), endpoints)
+            proxy._on_endpoint_list(UpdateKind.DELTA, row)
+            assert (await send_request(proxy, request(name="q2"))).status == 200
+        assert server.connections == 2
+
+
+async def test_attempt_to_an_endpoint_that_is_not_in_the_pool_is_connect_failed():
+    async with running_proxy(LoopbackServer()) as proxy:
+        proxy.policy = scripted = ScriptedPolicy(policy_sending_to("unknown"))
+        assert (await send_request(proxy, request())).status == 502
+        (outcome,) = scripted.events_of(AttemptOutcome)
+        assert (outcome.result, outcome.done) == (AttemptResult.CONNECT_FAILED, False)
+        assert not proxy.requests.by_id
--- a/tests/proxy/test_main.py
+++ b/tests/proxy/test_main.py
@@ -3,209 +3,180 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import os
 import signal
+import subprocess
+from collections.abc import AsyncIterator
+from dataclasses import dataclass
 from pathlib import Path
 
 import orjson
 import pytest
 
-from tests.support.loopback import (
-    LoopbackServer,
-    Message,
-    ScriptedDiscovery,
-    config_document,
-    endpoint_list_response,
-    read_message,
-    reply,
-    request,
-    targets,
-    until,
-)
+from loadbalancer.http.addresses import Address
+from tests.support.loopback import HttpClient, LoopbackServer, ScriptedDiscovery, StalledBackend, until
+from tests.support.messages import Message, endpoint_list_response, reply, request, targets
 from tests.support.program import (
     READINESS_REQUEST,
-    ask_until_answered,
-    connect_client,
     free_address,
-    start_program,
+    running_program,
+    send_until_response,
+    wait_for_log,
     write_config,
 )
+from tests.support.proxy_config import SETTINGS, config_document
+
+# A proxy in shutdown serves on for 3.4 s and then has 59.6 s to finish, in place of 2.4 s and 1.2 s.
+SLOW_SHUTDOWN = (
+    "from loadbalancer.proxy import graceful_shutdown as shutdown; "
+    "shutdown.EXIT_MARGIN_S, shutdown.CLOSING_PHASE_S = 60.0, 59.6"
+)
+
+
+def assert_rejected_configuration(path: Path | None) -> None:
+    """The program prints one line and exits with code 2."""
+    with running_program(path) as program:
+        _, log = program.communicate()
+        assert program.returncode == 2
+        assert log.count("\n") == 1
+
+
+DOCUMENT = config_document("127.0.0.1:1")
 
 
 @pytest.mark.parametrize(
-    "change",
+    "document",
     [
-        lambda row: row.pop("listen"),
-        lambda row: row.update(listen="nowhere"),
-        lambda row: row.update(seed="not hex"),
-        lambda row: row.update(known=[]),
-        lambda row: row.update(settings=None),
-        lambda row: row["settings"].update(categories=[]),
-        lambda row: row.update(limits={"sockets": "many"}),
+        pytest.param({key: DOCUMENT[key] for key in DOCUMENT if key != "listen"}, id="no address"),
+        pytest.param(DOCUMENT | {"listen": "nowhere"}, id="bad address"),
+        pytest.param(DOCUMENT | {"seed": "not hex"}, id="bad seed"),
+        pytest.param(DOCUMENT | {"known": []}, id="bad endpoint list"),
+        pytest.param(DOCUMENT | {"settings": None}, id="no settings"),
+        pytest.param(DOCUMENT | {"settings": SETTINGS | {"categories": []}}, id="no service class"),
+        pytest.param(DOCUMENT | {"limits": {"sockets": "many"}}, id="bad limit"),
     ],
 )
-def test_bad_configuration_is_one_line_and_exit_code_2(tmp_path, change):
-    row = orjson.loads(orjson.dumps(config_document("127.0.0.1:1")))
-    change(row)
-    path = write_config(tmp_path, row)
-    program = start_program(path)
-    _, log = program.communicate(timeout=60)
-    assert program.returncode == 2
-    assert log.count("\n") == 1
+def test_bad_configuration_is_one_line_and_exit_code_2(tmp_path, document):
+    assert_rejected_configuration(write_config(tmp_path, document))
 
 
-def test_missing_or_unreadable_configuration_is_one_line_and_exit_code_2(tmp_path):
+@pytest.mark.parametrize(
+    "name",
+    [
+        pytest.param(None, id="none named"),
+        pytest.param("none.json", id="missing"),
+        pytest.param("bad.json", id="unreadable"),
+    ],
+)
+def test_missing_or_unreadable_configuration_is_one_line_and_exit_code_2(tmp_path, name):
     (tmp_path / "bad.json").write_text("{")
-    for path in (None, tmp_path / "none.json", tmp_path / "bad.json"):
-        program = start_program(path)
-        _, log = program.communicate(timeout=60)
-        assert program.returncode == 2
-        assert log.count("\n") == 1
+    assert_rejected_configuration(tmp_path / name if name else None)
 
 
+@dataclass(frozen=True)
 class ServingProxy:
-    """A proxy process with one endpoint, which answers the request `held` only when it is released."""
+    """A proxy process that is ready, with one endpoint that responds to the request `held` once released."""
+
+    program: subprocess.Popen[str]
+    address: Address
+    endpoint: LoopbackServer
+    release: asyncio.Event
 
-    def __init__(self, folder: Path) -> None:
-        self._folder = folder
-        self._hold = asyncio.Event()
-        self.address = free_address()
 
-    async def start(self) -> None:
-        self.endpoint = await LoopbackServer(self._answer).start()
-        self._discovery = await ScriptedDiscovery().start()
-        row = config_document(self._discovery.endpoint, known=targets(s0=(self.endpoint.endpoint, "Ready")))
-        self.program = start_program(write_config(self._folder, row, self.address))
-        assert (await ask_until_answered(self.address, READINESS_REQUEST)).status == 200
+@contextlib.asynccontextmanager
+async def serving_proxy(folder: Path, prelude: str) -> AsyncIterator[ServingProxy]:
+    release = asyncio.Event()
 
-    async def _answer(self, message: Message) -> bytes:
+    async def respond(message: Message) -> bytes:
         if message.headers["req-id"] == "held":
-            await self._hold.wait()
+            await release.wait()
         return reply()
 
-    def release(self) -> None:
-        self._hold.set()
+    address = free_address()
+    async with LoopbackServer(respond) as endpoint, ScriptedDiscovery() as discovery:
+        document = config_document(discovery.endpoint, known=targets(s0=(endpoint.endpoint, "Ready")))
+        with running_program(write_config(folder, document, address), prelude=prelude) as program:
+            assert (await send_until_response(address, READINESS_REQUEST)).status == 200
+            yield ServingProxy(program, address, endpoint, release)
 
-    def stop(self) -> None:
-        self.program.kill()
-        self.program.communicate()
-        self.endpoint.stop()
-        self._discovery.stop()
 
+async def wait_until_not_ready(address: Address) -> Message:
+    """Returns the first response to a readiness request that is not 200."""
+    while (response := await send_until_response(address, READINESS_REQUEST)).status == 200:
+        pass
+    return response
 
-def test_sigterm_serves_new_requests_finishes_those_in_flight_and_exits_with_0(tmp_path):
-    async def check(proxy: ServingProxy) -> None:
-        busy, idle = await connect_client(proxy.address), await connect_client(proxy.address)
+
+async def test_sigterm_serves_new_requests_finishes_those_in_flight_and_exits_with_0(tmp_path):
+    async with (
+        serving_proxy(tmp_path, SLOW_SHUTDOWN) as proxy,
+        await HttpClient.connect(proxy.address) as busy,
+        await HttpClient.connect(proxy.address) as idle,
+    ):
         for client in (busy, idle):
             assert (await client.send(READINESS_REQUEST)).status == 200
         busy.writer.write(request(name="held"))
         await until(lambda: proxy.endpoint.seen)
         proxy.program.send_signal(signal.SIGTERM)
-        while (answer := await ask_until_answered(proxy.address, READINESS_REQUEST)).status == 200:
-            pass
-        assert answer.status == 503
-        answer = await idle.send(request(name="kept"))  # connections that clients have go on being of use
-        assert (answer.status, answer.headers.get("connection")) == (200, None)
-        assert (await ask_until_answered(proxy.address, request(name="new"))).status == 200
+        assert (await wait_until_not_ready(proxy.address)).status == 503
+        response = await idle.send(request(name="kept"))  # on a connection from before the signal
+        assert (response.status, response.headers.get("connection")) == (200, None)
+        assert (await send_until_response(proxy.address, request(name="new"))).status == 200
         assert await idle.reader.read() == b""  # closed between requests, in the end
         assert proxy.program.poll() is None
-        proxy.release()
-        answer = await read_message(busy.reader)
-        assert (answer.status, answer.headers["connection"]) == (200, "close")
+        proxy.release.set()
+        response = await busy.read_response()
+        assert (response.status, response.headers["connection"]) == (200, "close")
         assert await asyncio.to_thread(proxy.program.wait) == 0
 
-    async def main():
-        proxy = ServingProxy(tmp_path)
-        try:
-            async with asyncio.timeout(60):
-                await proxy.start()
-                await check(proxy)
-        finally:
-            proxy.stop()
-
-    asyncio.run(main())
 
-
-def test_sighup_follows_another_discovery_address_and_a_bad_file_changes_nothing(tmp_path):
-    async def main():
-        first = await ScriptedDiscovery(endpoint_list_response(7, True, s0=("127.0.0.1:9", "Ready"))).start()
-        second = await ScriptedDiscovery().start()
+async def test_sighup_follows_another_discovery_address_and_a_bad_file_changes_nothing(tmp_path):
+    changes = endpoint_list_response(7, True, s0=("127.0.0.1:9", "Ready"))
+    async with ScriptedDiscovery(changes) as first, ScriptedDiscovery() as second:
         path = write_config(tmp_path, config_document(first.endpoint))
-        program = start_program(path)
-        try:
-            async with asyncio.timeout(60):
-                await until(lambda: len(first.seen) == 2)
-                path.write_text("{")
-                program.send_signal(signal.SIGHUP)
-                assert program.stderr is not None
-                while "bad configuration" not in (line := await asyncio.to_thread(program.stderr.readline)):
-                    assert line
-                write_config(tmp_path, config_document(second.endpoint))
-                program.send_signal(signal.SIGHUP)
-                await until(lambda: second.seen)
-                assert "since=7&" in second.seen[0].first[1]  # what is held stays
-                await until(lambda: all(reader.at_eof() for reader in first.readers))  # the old watch is over
-                program.send_signal(signal.SIGTERM)
-                await asyncio.to_thread(program.communicate)
-                assert program.returncode == 0
-        finally:
-            program.kill()
-            program.wait()
-            first.stop()
-            second.stop()
-
-    asyncio.run(main())
+        with running_program(path) as program:
+            await until(lambda: len(first.seen) == 2)
+            path.write_text("{")
+            program.send_signal(signal.SIGHUP)
+            await wait_for_log(program, "bad configuration")
+            write_config(tmp_path, config_document(second.endpoint))
+            program.send_signal(signal.SIGHUP)
+            await until(lambda: second.seen)
+            assert "since=7&" in second.seen[0].first[1]  # the proxy keeps the list that it has
+            await until(lambda: all(reader.at_eof() for reader in first.readers))  # the old watch is over
+            program.send_signal(signal.SIGTERM)
+            await asyncio.to_thread(program.communicate)
+            assert program.returncode == 0
 
 
 def test_sigterm_before_the_configuration_is_read_shuts_down_in_order(tmp_path):
-    """The file is a pipe: the proxy waits for it, its handlers set, as the signal comes."""
+    """The file is a pipe: the proxy, with its signal handlers set, waits for it when the signal comes."""
     path = tmp_path / "config.json"
     os.mkfifo(path)
-    program = start_program(path)
-    try:
+    with running_program(path) as program:
         with path.open("wb") as pipe:  # opens once the proxy has opened it too
             program.send_signal(signal.SIGTERM)
             pipe.write(orjson.dumps(config_document("127.0.0.1:1")))
-        _, log = program.communicate(timeout=60)
+        _, log = program.communicate()
         assert program.returncode == 0
         assert "Traceback" not in log
-    finally:
-        program.kill()
-        program.wait()
-
-
-def test_sighup_during_the_shutdown_is_followed(tmp_path):
-    async def main():
-        hung, first = (
-            await LoopbackServer(lambda message: asyncio.sleep(60)).start(),
-            await ScriptedDiscovery().start(),
-        )
-        second = await ScriptedDiscovery().start()
-        address = free_address()
-        row = config_document(first.endpoint, known=targets(s0=(hung.endpoint, "Ready")))
-        path = write_config(tmp_path, row, address)
-        program = start_program(path)
-        try:
-            async with asyncio.timeout(60):
-                await until(lambda: first.seen)  # it listens before it asks
-                client = await connect_client(address)
+
+
+async def test_sighup_during_the_shutdown_is_followed(tmp_path):
+    address = free_address()
+    async with StalledBackend() as hung, ScriptedDiscovery() as first, ScriptedDiscovery() as second:
+        document = config_document(first.endpoint, known=targets(s0=(hung.endpoint, "Ready")))
+        with running_program(write_config(tmp_path, document, address)) as program:
+            await until(lambda: first.seen)  # the proxy listens before it polls
+            async with await HttpClient.connect(address) as client:
                 client.writer.write(request(name="held"))
                 await until(lambda: hung.seen)
                 program.send_signal(signal.SIGTERM)
-                while (await ask_until_answered(address, READINESS_REQUEST)).status == 200:
-                    pass
-                write_config(tmp_path, row | {"discovery": second.endpoint}, address)
+                await wait_until_not_ready(address)
+                write_config(tmp_path, document | {"discovery": second.endpoint}, address)
                 program.send_signal(signal.SIGHUP)
                 await until(lambda: second.seen)
-                assert (
-                    await client.read_response()
-                ).status == 503  # given up at the end: safe to ask elsewhere
-                client.writer.close()
-                assert await asyncio.to_thread(program.wait) == 0
-        finally:
-            program.kill()
-            program.communicate()
-            for peer in (hung, first, second):
-                peer.stop()
-
-    asyncio.run(main())
+                # At the end the proxy gives the request up; it can be sent elsewhere.
+                assert (await client.read_response()).status == 503
+            assert await asyncio.to_thread(program.wait) == 0
--- a/tests/proxy/test_start.py
+++ b/tests/proxy/test_start.py
@@ -2,31 +2,28 @@
 
 from __future__ import annotations
 
-import asyncio
+import contextlib
 import subprocess
 import sys
+from collections.abc import AsyncIterator
+from dataclasses import dataclass
 from pathlib import Path
 
 import pytest
 
-from tests.support.loopback import (
-    DiscoveryOutage,
-    LoopbackServer,
-    Message,
-    config_document,
-    endpoint_list_response,
-    request,
-    targets,
-    until,
-)
+from loadbalancer.http.addresses import Address
+from tests.support.discovery_outage import DiscoveryOutage
+from tests.support.loopback import LoopbackServer
+from tests.support.messages import request, targets
 from tests.support.program import (
     READINESS_REQUEST,
     ROOT,
-    ask_until_answered,
     free_address,
-    start_program,
+    running_program,
+    send_until_response,
     write_config,
 )
+from tests.support.proxy_config import config_document
 
 # A start is paid in processor time. What the event loop and the two libraries bring along is not counted.
 BASE = "import asyncio, dataclasses, enum, logging, re, signal, httptools, orjson"
@@ -62,77 +59,43 @@
     assert ours <= modules | set(PROGRAM)
 
 
-class ProxyWithoutDiscovery:
-    """A proxy process whose discovery is down, and comes back with one new endpoint.
-
-    Its known endpoints are either none, or an outdated list of two of which one is still there.
-    """
+@dataclass(frozen=True)
+class StartedProxy:
+    """A proxy process whose discovery is down."""
 
-    def __init__(self, outage: str, mode: str, known: str) -> None:
-        self._mode = mode
-        self.known = known
-        self.old_endpoint, self.new_endpoint = LoopbackServer(), LoopbackServer()
-        self.discovery = LoopbackServer(self._list)
-        self.outage = DiscoveryOutage(outage)
-        self.address = free_address()
+    address: Address
+    discovery: DiscoveryOutage
+    old_endpoint: LoopbackServer  # one of the two of an outdated list; the other one is gone
 
-    async def _list(self, message: Message) -> bytes:
-        if "since=1&" not in message.first[1]:
-            await asyncio.Event().wait()
-        return endpoint_list_response(2, True, new=(self.new_endpoint.endpoint, "Ready"))
 
-    async def start(self, folder: Path) -> None:
-        await self.old_endpoint.start()
-        await self.new_endpoint.start()
-        nobody = "{}:{}".format(*free_address())
-        outdated = targets(gone=(nobody, "Ready"), old=(self.old_endpoint.endpoint, "Ready"))
-        row = config_document(
-            "{}:{}".format(*self.outage.socket.getsockname()),
-            known=outdated if self.known == "outdated" else [],
-            settings={"registryMode": self._mode},
+@contextlib.asynccontextmanager
+async def started_proxy(folder: Path, outage: str, mode: str, known: str) -> AsyncIterator[StartedProxy]:
+    """A proxy process that knows either no endpoints or an outdated list of two."""
+    async with DiscoveryOutage(outage) as discovery, LoopbackServer() as old_endpoint:
+        address = free_address()
+        gone = "{}:{}".format(*free_address())
+        outdated = targets(gone=(gone, "Ready"), old=(old_endpoint.endpoint, "Ready"))
+        document = config_document(
+            discovery.address,
+            known=outdated if known == "outdated" else [],
+            settings={"registryMode": mode},
         )
-        self._program = start_program(write_config(folder, row, self.address))
-
-    async def end_outage(self) -> None:
-        """Bring discovery back, and wait until the proxy has the new list."""
-        await self.outage.end(self.discovery)
-        await until(lambda: any("since=2&" in message.first[1] for message in self.discovery.seen))
-
-    async def stop(self) -> None:
-        self._program.kill()
-        await asyncio.to_thread(self._program.communicate)
-        self.old_endpoint.stop()
-        self.new_endpoint.stop()
-
-
-def request_ids(server: LoopbackServer) -> list[str]:
-    return [message.headers["req-id"] for message in server.seen]
+        with running_program(write_config(folder, document, address)):
+            yield StartedProxy(address, discovery, old_endpoint)
 
 
 @pytest.mark.parametrize("outage", ["refuses", "hangs", "is mute"])
 @pytest.mark.parametrize("mode", ["push", "ask"])
 @pytest.mark.parametrize("known", ["outdated", "empty"])
-def test_proxy_started_while_discovery_is_down(tmp_path, outage, mode, known):
-    """With an outdated list it is ready and serves; with none, once discovery is back."""
-
-    async def check(proxy: ProxyWithoutDiscovery) -> None:
-        readiness = await ask_until_answered(proxy.address, READINESS_REQUEST)
+async def test_proxy_started_while_discovery_is_down(tmp_path, outage, mode, known):
+    """With an outdated list it is ready and serves; with an empty one, once discovery is back."""
+    async with started_proxy(tmp_path, outage, mode, known) as proxy:
+        readiness = await send_until_response(proxy.address, READINESS_REQUEST)
         assert readiness.status == (200 if known == "outdated" else 503)
         if known == "outdated":
-            assert (await ask_until_answered(proxy.address, request(name="early"))).status == 200
-            assert request_ids(proxy.old_endpoint) == ["early"]
-        await proxy.end_outage()
-        assert (await ask_until_answered(proxy.address, READINESS_REQUEST)).status == 200
-        assert (await ask_until_answered(proxy.address, request(name="late"))).status == 200
-        assert request_ids(proxy.new_endpoint) == ["late"]
-
-    async def main() -> None:
-        proxy = ProxyWithoutDiscovery(outage, mode, known)
-        await proxy.start(tmp_path)
-        try:
-            async with asyncio.timeout(60):
-                await check(proxy)
-        finally:
-            await proxy.stop()
-
-    asyncio.run(main())
+            assert (await send_until_response(proxy.address, request(name="early"))).status == 200
+            assert proxy.old_endpoint.request_ids == ["early"]
+        await proxy.discovery.end()
+        assert (await send_until_response(proxy.address, READINESS_REQUEST)).status == 200
+        assert (await send_until_response(proxy.address, request(name="late"))).status == 200
+        assert proxy.discovery.new_endpoint.request_ids == ["late"]
--- a/tests/proxy/test_watch_races.py
+++ b/tests/proxy/test_watch_races.py
@@ -1,192 +1,225 @@
-"""Watches of the endpoint list that fail, fall silent or are opened anew at a bad moment: docs/races.md."""
+"""Watches of the endpoint list that fail, fall silent or are reopened at a bad moment: docs/races.md.
+
+All tests run in model time, so that a slow machine changes neither their results nor what they measure.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
+from collections.abc import AsyncIterator
+from dataclasses import dataclass
+from typing import Any
+from urllib.parse import parse_qsl
 
 import pytest
 
+from loadbalancer.discovery.watch_client import ANSWER_GRACE_S, EMPTY_ANSWER_PAUSE_S
+from loadbalancer.discovery.watch_timing import WATCH_INITIAL_BACKOFF_MS
 from loadbalancer.events import UpdateKind
-from tests.support.loopback import (
-    config,
-    endpoint_list_response,
-    read_message,
-    reply,
-    running_proxy,
-    until,
-)
-from tests.support.proxy import (
-    ManualServer,
-)
+from loadbalancer.http.addresses import Address
+from loadbalancer.proxy.proxy import Proxy
+from tests.support.loopback import config, endpoint_list_response, reply, running_proxy, until
+from tests.support.model_time import ModelLoop, in_model_time
 
 PUSH = {"registryMode": "push"}
+READY_ENDPOINT = ("127.0.0.1:9", "Ready")
+OTHER_ADDRESS = ("127.0.0.1", 2)
 
 
-READY_ENDPOINT = ("127.0.0.1:9", "Ready")
+@dataclass(frozen=True)
+class Poll:
+    """A watch request that waits for its response."""
+
+    query: str  # of its path
+    address: Address
+    transport: asyncio.Transport
+    at_s: float  # in model time
+
+    @property
+    def revision(self) -> int:
+        """The revision that the proxy has."""
+        return int(self._parameters["since"])
+
+    @property
+    def wait_s(self) -> float:
+        """The longest time that discovery may wait before it responds."""
+        return int(self._parameters["timeout_ms"]) / 1000.0
 
+    @property
+    def _parameters(self) -> dict[str, str]:
+        return dict(parse_qsl(self.query, strict_parsing=True))
 
-class ManualDiscovery(ManualServer):
-    """Discovery whose test answers itself: each poll, on whichever connection, waits in `polls`."""
+    def respond(self, revision: int) -> None:
+        """Respond with a complete list, of the one endpoint that is named after the revision."""
+        self.transport.write(endpoint_list_response(revision, True, **{f"s{revision}": READY_ENDPOINT}))
+
+
+class ManualDiscovery:
+    """Discovery whose test responds itself: each poll, on whichever connection, waits to be taken."""
 
     def __init__(self) -> None:
-        super().__init__()
-        self.polls: asyncio.Queue[tuple[str, asyncio.StreamWriter]] = asyncio.Queue()
+        self._polls: asyncio.Queue[Poll] = asyncio.Queue()
+        self._address = ("", 0)  # of the latest connection
+        self._loop = asyncio.get_running_loop()
+
+    async def on_connect(self, address: Address) -> None:
+        self._address = address
+
+    def on_request(self, transport: asyncio.Transport, text: str) -> None:
+        query = text.split()[1].partition("?")[2]
+        self._polls.put_nowait(Poll(query, self._address, transport, self._loop.time()))
 
-    async def _serve(self, reader, writer):
-        while True:
-            message = await read_message(reader)
-            await self.polls.put((message.first[1].partition("?")[2], writer))
+    @property
+    def has_poll(self) -> bool:
+        return not self._polls.empty()
 
-    async def next_poll(self) -> tuple[str, asyncio.StreamWriter]:
-        async with asyncio.timeout(20):
-            return await self.polls.get()
+    async def next_poll(self) -> Poll:
+        return await self._polls.get()
 
 
 @contextlib.asynccontextmanager
-async def following_watch(monkeypatch, answer_grace_s=60.0, **more):
-    """A proxy that follows this discovery, with a backoff that never ends."""
-    monkeypatch.setattr("loadbalancer.discovery.watch_client.ANSWER_GRACE_S", answer_grace_s)
-    monkeypatch.setattr("loadbalancer.discovery.watch_client.FIRST_WAIT_MS", 50.0)
-    monkeypatch.setattr("loadbalancer.discovery.watch_client.PUSH_BACKOFF_S", 3600.0)
-    discovery = ManualDiscovery()
-    settings = {"invariants": {"askWithinMs": 100.0}} | more.pop("settings", PUSH)
-    async with running_proxy(discovery=discovery, settings=settings, **more) as proxy:
+async def following_watch(settings: dict[str, Any] = PUSH) -> AsyncIterator[tuple[Proxy, ManualDiscovery]]:
+    """A proxy that follows this discovery."""
+    loop = asyncio.get_running_loop()
+    assert isinstance(loop, ModelLoop)
+    loop.discovery = discovery = ManualDiscovery()
+    async with running_proxy(settings=settings) as proxy:
         yield proxy, discovery
 
 
-@pytest.mark.parametrize("sent_before", [b"", endpoint_list_response(8, True, s9=READY_ENDPOINT)[:-20]])
-@pytest.mark.parametrize("first", [True, False])
-def test_silent_watch_is_reopened_at_once(first, sent_before, monkeypatch):
-    """On a connection's first poll or a later one; before a response or in the middle of it."""
-
-    async def main():
-        async with following_watch(monkeypatch, answer_grace_s=1.0) as (proxy, discovery):
-            if not first:
-                _, writer = await discovery.next_poll()
-                writer.write(endpoint_list_response(7, True, s7=READY_ENDPOINT))
-            query, silent = await discovery.next_poll()
-            silent.write(sent_before)
-            assert query.startswith("since=1&" if first else "since=7&")
-            reopened_query, writer = await discovery.next_poll()
-            assert writer is not silent
-            assert reopened_query.partition("&")[0] == query.partition("&")[0]  # from the same revision
-            silent.write(
-                endpoint_list_response(8, True, s8=READY_ENDPOINT)
-            )  # what comes on the broken watch now is ignored
-            writer.write(endpoint_list_response(9, True, s9=READY_ENDPOINT))
-            await until(lambda: set(proxy.pool._endpoints) == {"s9"})
-            assert proxy.statistics.endpoint_lists[UpdateKind.UNAVAILABLE] == 1
-
-    asyncio.run(main())
-
-
-@pytest.mark.parametrize("settings", [PUSH, {"registryMode": "ask"}])
-def test_reset_watch_is_reopened_and_a_drain_right_after_it_is_received(settings, monkeypatch):
-    async def main():
-        async with following_watch(monkeypatch, settings=settings) as (proxy, discovery):
-            _, writer = await discovery.next_poll()
-            writer.write(endpoint_list_response(7, True, s7=READY_ENDPOINT))
-            _, writer = await discovery.next_poll()
-            writer.transport.abort()
-            query, writer = await discovery.next_poll()
-            assert query.startswith("since=7&")
-            writer.write(endpoint_list_response(8, False, s7=("127.0.0.1:9", "Terminating")))
-            await until(lambda: not proxy.pool._endpoints)
-            assert not proxy.policy.endpoints.ready
-
-    asyncio.run(main())
-
-
-def test_first_poll_of_a_connection_waits_a_second_at_most():
-    async def main():
-        discovery = ManualDiscovery()
-        async with running_proxy(discovery=discovery, settings=PUSH):
-            query, writer = await discovery.next_poll()
-            assert query == "since=1&timeout_ms=1000"
-            writer.write(endpoint_list_response(7, False))
-            assert (await discovery.next_poll())[0] == "since=7&timeout_ms=3000"
-
-    asyncio.run(main())
-
-
-@pytest.mark.parametrize("same", [True, False])
-def test_new_discovery_address_in_a_backoff_is_polled_at_once(same, monkeypatch):
-    async def main():
-        async with following_watch(monkeypatch) as (proxy, discovery):
-            for _ in range(2):
-                (await discovery.next_poll())[1].close()
-            await until(lambda: proxy.statistics.endpoint_lists[UpdateKind.UNAVAILABLE] == 2)
-            other = discovery if same else await ManualDiscovery().start()
-            for _ in range(2):  # a second SIGHUP changes nothing
-                proxy.reconfigure(config(other.endpoint))
-            query, writer = await other.next_poll()
-            assert query.startswith("since=1&")
-            writer.write(endpoint_list_response(9, True, s9=READY_ENDPOINT))
-            await until(lambda: set(proxy.pool._endpoints) == {"s9"})
-            other.stop()
-
-    asyncio.run(main())
-
-
-def test_hangup_with_the_same_discovery_address_reopens_the_watch(monkeypatch):
-    """The open watch may have fallen silent, and what it missed counts as notified in 4 s."""
-
-    async def main():
-        discovery = ManualDiscovery()
-        async with running_proxy(discovery=discovery, settings=PUSH) as proxy:
-            _, writer = await discovery.next_poll()
-            writer.write(endpoint_list_response(7, True, s7=READY_ENDPOINT))
-            _, silent = await discovery.next_poll()
-            proxy.reconfigure(config(discovery.endpoint))
-            query, writer = await discovery.next_poll()
-            assert (query, writer is silent) == ("since=7&timeout_ms=1000", False)
-            silent.write(endpoint_list_response(8, True, s8=READY_ENDPOINT))
-            writer.write(endpoint_list_response(9, True, s9=READY_ENDPOINT))
-            await until(lambda: set(proxy.pool._endpoints) == {"s9"})
-            assert proxy.statistics.endpoint_lists[UpdateKind.UNAVAILABLE] == 0
-
-    asyncio.run(main())
-
-
-def test_discovery_that_answers_without_waiting_is_not_polled_without_pause(monkeypatch):
-    async def main():
-        monkeypatch.setattr("loadbalancer.discovery.watch_client.EMPTY_ANSWER_PAUSE_S", 3600.0)
-        discovery = ManualDiscovery()
-        async with running_proxy(discovery=discovery, settings=PUSH) as proxy:
-            for _ in range(2):  # the first one has a change
-                _, writer = await discovery.next_poll()
-                writer.write(endpoint_list_response(7, False))
-            await until(lambda: proxy.statistics.endpoint_lists[UpdateKind.DELTA] == 2)
-            for _ in range(20):
-                await asyncio.sleep(0)
-            assert discovery.polls.empty()
-
-    asyncio.run(main())
+async def wait_for_endpoints(proxy: Proxy, *names: str) -> None:
+    await until(lambda: set(proxy.pool._endpoints) == set(names))
+
+
+def unavailable_updates(proxy: Proxy) -> int:
+    return proxy.statistics.endpoint_lists[UpdateKind.UNAVAILABLE]
+
+
+@pytest.mark.parametrize(
+    "sent_before",
+    [
+        pytest.param(b"", id="no response"),
+        pytest.param(endpoint_list_response(8, True, s9=READY_ENDPOINT)[:-20], id="half a response"),
+    ],
+)
+@pytest.mark.parametrize("first", [pytest.param(True, id="first poll"), pytest.param(False, id="later poll")])
+@in_model_time
+async def test_silent_watch_is_reopened_at_once(first, sent_before):
+    async with following_watch() as (proxy, discovery):
+        if not first:
+            (await discovery.next_poll()).respond(7)
+        silent = await discovery.next_poll()
+        silent.transport.write(sent_before)
+        assert silent.revision == (1 if first else 7)
+        reopened = await discovery.next_poll()
+        assert reopened.at_s - silent.at_s == pytest.approx(silent.wait_s + ANSWER_GRACE_S)
+        assert reopened.transport is not silent.transport
+        assert reopened.revision == silent.revision
+        silent.respond(8)  # ignored, as the proxy has closed this connection
+        reopened.respond(9)
+        await wait_for_endpoints(proxy, "s9")
+        assert unavailable_updates(proxy) == 1
+
+
+@pytest.mark.parametrize(
+    ("mode", "longest_pause_s"),
+    [
+        pytest.param("push", 0.0, id="push"),
+        pytest.param("ask", WATCH_INITIAL_BACKOFF_MS / 1000.0, id="ask"),
+    ],
+)
+@in_model_time
+async def test_reset_watch_is_reopened_and_a_drain_right_after_it_is_received(mode, longest_pause_s):
+    async with following_watch({"registryMode": mode}) as (proxy, discovery):
+        (await discovery.next_poll()).respond(7)
+        reset = await discovery.next_poll()
+        reset.transport.abort()
+        poll = await discovery.next_poll()
+        assert poll.revision == 7
+        assert poll.at_s - reset.at_s <= longest_pause_s
+        poll.transport.write(endpoint_list_response(8, False, s7=(READY_ENDPOINT[0], "Terminating")))
+        await wait_for_endpoints(proxy)
+        assert not proxy.policy.endpoints.ready
+
+
+@in_model_time
+async def test_first_poll_of_a_connection_waits_a_second_at_most():
+    async with following_watch() as (_, discovery):
+        poll = await discovery.next_poll()
+        assert poll.query == "since=1&timeout_ms=1000"
+        poll.transport.write(endpoint_list_response(7, False))
+        assert (await discovery.next_poll()).query == "since=7&timeout_ms=3000"
+
+
+@pytest.mark.parametrize(
+    "same", [pytest.param(True, id="same address"), pytest.param(False, id="other address")]
+)
+@in_model_time
+async def test_new_discovery_address_in_a_backoff_is_polled_at_once(same):
+    async with following_watch() as (proxy, discovery):
+        for _ in range(2):
+            failed = await discovery.next_poll()
+            failed.transport.abort()
+        await until(lambda: unavailable_updates(proxy) == 2)
+        changed_at_s = proxy.loop.time()
+        address = failed.address if same else OTHER_ADDRESS
+        for _ in range(2):  # a second SIGHUP changes nothing
+            proxy.reconfigure(config("{}:{}".format(*address)))
+        poll = await discovery.next_poll()
+        assert (poll.revision, poll.address, poll.at_s) == (1, address, changed_at_s)
+        poll.respond(9)
+        await wait_for_endpoints(proxy, "s9")
+
+
+@in_model_time
+async def test_hangup_with_the_same_discovery_address_reopens_the_watch():
+    """The open watch may have fallen silent, and a change that it missed counts as notified in 4 s."""
+    async with following_watch() as (proxy, discovery):
+        (await discovery.next_poll()).respond(7)
+        silent = await discovery.next_poll()
+        proxy.reconfigure(config("{}:{}".format(*silent.address)))
+        poll = await discovery.next_poll()
+        assert (poll.query, poll.transport is silent.transport) == ("since=7&timeout_ms=1000", False)
+        silent.respond(8)
+        poll.respond(9)
+        await wait_for_endpoints(proxy, "s9")
+        assert unavailable_updates(proxy) == 0
+
+
+@in_model_time
+async def test_discovery_that_responds_without_waiting_is_not_polled_without_pause():
+    async with following_watch() as (proxy, discovery):
+        for _ in range(2):  # the first response has a change
+            poll = await discovery.next_poll()
+            poll.transport.write(endpoint_list_response(7, False))
+        await until(lambda: proxy.statistics.endpoint_lists[UpdateKind.DELTA] == 2)
+        for _ in range(20):
+            await asyncio.sleep(0)
+        assert not discovery.has_poll
+        assert (await discovery.next_poll()).at_s - poll.at_s >= EMPTY_ANSWER_PAUSE_S
 
 
 @pytest.mark.parametrize(
     "malformed",
     [
-        reply(200, b"{"),
-        reply(200, b'{"rev":true,"all":1,"targets":{}}'),
-        endpoint_list_response(9, True, s9=("a.name.that.is.looked.up:80", "Ready")),
-        b"no answer at all\r\n\r\n",
+        pytest.param(reply(200, b"{"), id="half a document"),
+        pytest.param(reply(200, b'{"rev":true,"all":1,"targets":{}}'), id="wrong types"),
+        pytest.param(
+            endpoint_list_response(9, True, s9=("a.name.that.is.looked.up:80", "Ready")), id="host name"
+        ),
+        pytest.param(b"no response at all\r\n\r\n", id="not HTTP"),
     ],
 )
-def test_unreadable_list_is_one_log_line_and_a_new_watch(malformed, monkeypatch, caplog):
-    async def main():
-        async with following_watch(monkeypatch) as (proxy, discovery):
-            _, writer = await discovery.next_poll()
-            writer.write(endpoint_list_response(7, True, s7=READY_ENDPOINT))
-            _, bad = await discovery.next_poll()
-            caplog.clear()
-            bad.write(malformed)
-            query, writer = await discovery.next_poll()
-            assert query.startswith("since=7&")
-            assert (set(proxy.pool._endpoints), set(proxy.policy.endpoints.by_name)) == ({"s7"}, {"s7"})
-            lines = [record.getMessage() for record in caplog.records if record.levelname == "WARNING"]
-            assert len(lines) == 1
-            assert "keeping last known good" in lines[0]
-
-    asyncio.run(main())
+@in_model_time
+async def test_unreadable_list_is_one_log_line_and_a_new_watch(malformed, caplog):
+    async with following_watch() as (proxy, discovery):
+        (await discovery.next_poll()).respond(7)
+        poll = await discovery.next_poll()
+        caplog.clear()
+        poll.transport.write(malformed)
+        assert (await discovery.next_poll()).revision == 7
+        assert (set(proxy.pool._endpoints), set(proxy.policy.endpoints.by_name)) == ({"s7"}, {"s7"})
+        lines = [record.getMessage() for record in caplog.records if record.levelname == "WARNING"]
+        assert len(lines) == 1
+        assert "keeping last known good" in lines[0]
--- /dev/null
+++ b/tests/support/messages.py
@@ -0,0 +1,66 @@
+"""Requests and responses in bytes, and endpoint lists as discovery sends them."""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import dataclass
+from typing import Any
+
+import orjson
+
+
+@dataclass
+class Message:
+    """A parsed request or response."""
+
+    first: list[str]  # the words of its first line
+    headers: dict[str, str]  # by lower-case name
+    body: bytes
+
+    @property
+    def status(self) -> int:
+        """The status of a response."""
+        return int(self.first[1])
+
+
+async def read_message(reader: asyncio.StreamReader) -> Message:
+    """Read one message, whose body has a Content-Length or is empty.
+
+    Raises:
+        asyncio.IncompleteReadError: if the connection ends before the message does.
+    """
+    head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
+    headers = {name.lower(): value for name, _, value in (line.partition(": ") for line in head[1:-2])}
+    return Message(
+        head[0].split(" ", 2), headers, await reader.readexactly(int(headers.get("content-length", 0)))
+    )
+
+
+def reply(status: int = 200, body: bytes = b"done", **headers: str) -> bytes:
+    """A response in bytes; an underscore in a header's keyword stands for a hyphen."""
+    lines = [f"HTTP/1.1 {status} Word", f"Content-Length: {len(body)}"]
+    lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
+    return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
+
+
+def request(kind: str = "read", name: str = "q1", body: bytes = b"", **headers: str) -> bytes:
+    """A request in bytes, of a service class and with an id; header keywords are as in `reply`."""
+    method = "GET" if kind == "read" else "POST"
+    lines = [f"{method} /{kind}/7f3a?x=1 HTTP/1.1", "Host: service.internal", f"Req-Id: {name}"]
+    if kind != "read":
+        lines.append(f"Content-Length: {len(body)}")
+    lines += [f"{key.replace('_', '-')}: {value}" for key, value in headers.items()]
+    return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
+
+
+def targets(**states: tuple[str, str]) -> list[dict[str, Any]]:
+    """The entries of an endpoint list on the wire: address and state by uid."""
+    return [
+        {"uid": uid, "endpoint": endpoint, "az": "a", "pod_group": 1, "state": state, "boot_ms": 0}
+        for uid, (endpoint, state) in states.items()
+    ]
+
+
+def endpoint_list_response(revision: int, complete: bool, **states: tuple[str, str]) -> bytes:
+    """Discovery's response with an endpoint list, complete or of changes."""
+    return reply(200, orjson.dumps({"rev": revision, "all": complete, "targets": targets(**states)}))
--- a/tests/support/model_time.py
+++ b/tests/support/model_time.py
@@ -7,13 +7,15 @@
 from __future__ import annotations
 
 import asyncio
+import functools
 import selectors
 import socket
 from collections.abc import Callable, Coroutine
 from random import Random
-from typing import Any, TypeVar
+from typing import Any, Protocol, TypeVar
 
-from tests.support.loopback import endpoint_list_response, reply
+from loadbalancer.http.addresses import Address
+from tests.support.messages import endpoint_list_response, reply
 
 _Result = TypeVar("_Result")
 
@@ -36,10 +38,20 @@
         return ready
 
 
+class ModelDiscovery(Protocol):
+    """Discovery as a `ModelLoop` reaches it."""
+
+    async def on_connect(self, address: Address) -> None:
+        """Let a connect to this address succeed, or fail with OSError."""
+
+    def on_request(self, transport: asyncio.Transport, text: str) -> None:
+        """Take a request, given as text, that came on this connection."""
+
+
 class ModelLoop(asyncio.SelectorEventLoop):
     """An event loop in model time, on which every address is that of `discovery`."""
 
-    discovery: DiscoveryModel
+    discovery: ModelDiscovery
 
     def __init__(self) -> None:
         self._model_selector = ModelTimeSelector()
@@ -64,7 +76,9 @@
         """Connect to the discovery, whatever the address; a given socket is used as it is."""
         if sock is not None:
             return await super().create_connection(protocol_factory, sock=sock)
-        await self.discovery.on_connect()
+        assert host is not None
+        assert port is not None
+        await self.discovery.on_connect((host, port))
         client_socket, server_socket = socket.socketpair()
         await super().create_connection(lambda: _DiscoveryConnection(self.discovery), sock=server_socket)
         return await super().create_connection(protocol_factory, sock=client_socket)
@@ -76,8 +90,18 @@
         return runner.run(main)
 
 
+def in_model_time(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
+    """Decorate an asynchronous test to run on a new model loop; the test's fixtures are synchronous."""
+
+    @functools.wraps(test)
+    def run(*args: Any, **kwargs: Any) -> None:
+        run_in_model_time(test(*args, **kwargs))
+
+    return run
+
+
 class _DiscoveryConnection(asyncio.Protocol):
-    def __init__(self, discovery: DiscoveryModel) -> None:
+    def __init__(self, discovery: ModelDiscovery) -> None:
         self._discovery = discovery
         self._transport: asyncio.Transport
 
@@ -95,9 +119,8 @@
     def __init__(self, fault: str, rng: Random) -> None:
         self.up = True
         self.revision = 1
-        self.attempts: asyncio.Queue[str] = (
-            asyncio.Queue()
-        )  # requests, and connects that fail while it is down
+        # Requests, and connects that fail while it is down.
+        self.attempts: asyncio.Queue[str] = asyncio.Queue()
         self.waiting: dict[asyncio.Transport, asyncio.TimerHandle] = {}  # the end of each request's wait
         self._fault = fault
         self._rng = rng
@@ -108,7 +131,7 @@
             return ""
         return self._rng.choice(FAULTS[:-1]) if self._fault == FAULTS[-1] else self._fault
 
-    async def on_connect(self) -> None:
+    async def on_connect(self, _address: Address) -> None:
         """Let a connect succeed, or fail as the fault says."""
         fault = self._current_fault()
         if fault in ("refused", "unreachable"):
--- a/tests/support/program.py
+++ b/tests/support/program.py
@@ -8,64 +8,82 @@
 import socket
 import subprocess
 import sys
+from collections.abc import Iterator
 from pathlib import Path
 from typing import Any
 
 import orjson
 
 from benchmarks.free_ports import free_ports
-from tests.support.loopback import HttpClient, Message
+from loadbalancer.http.addresses import Address
+from tests.support.loopback import HttpClient
+from tests.support.messages import Message
 
 ROOT = Path(__file__).parents[2]
 READINESS_REQUEST = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
 RECONNECT_PAUSE_S = 0.005
 
-Address = tuple[str, int]
 
+@contextlib.contextmanager
+def running_program(
+    config: Path | None, descriptor_limit: int | None = None, prelude: str = ""
+) -> Iterator[subprocess.Popen[str]]:
+    """The proxy as a process with its log in a pipe; killed at the end of the context if it still runs.
 
-def start_program(config: Path | None, descriptor_limit: int | None = None) -> subprocess.Popen[str]:
-    """Start the proxy; with a limit it may open no more descriptors than that."""
+    With a descriptor limit it may open no more descriptors than that. The prelude is Python code that the
+    process runs before the program, to change constants whose real values leave too little time for a test.
+    """
     environment = {key: value for key, value in os.environ.items() if key != "PROXY_CONFIG"}
     if config is not None:
         environment["PROXY_CONFIG"] = str(config)
     command = [sys.executable, "-m", "loadbalancer"]
+    if prelude:
+        command[1:] = [
+            "-c",
+            f"import runpy; {prelude}; runpy.run_module('loadbalancer', run_name='__main__')",
+        ]
     if descriptor_limit is not None:
         command = ["/bin/sh", "-c", f'ulimit -S -n {descriptor_limit}; exec "$0" "$@"', *command]
-    return subprocess.Popen(command, cwd=ROOT, env=environment, stderr=subprocess.PIPE, text=True)
+    with subprocess.Popen(command, cwd=ROOT, env=environment, stderr=subprocess.PIPE, text=True) as program:
+        try:
+            yield program
+        finally:
+            program.kill()
+
+
+async def wait_for_log(program: subprocess.Popen[str], text: str) -> None:
+    """Read the program's log until a line with this text; AssertionError if the log ends before it."""
+    assert program.stderr is not None
+    while text not in (line := await asyncio.to_thread(program.stderr.readline)):
+        assert line, f"the log has no line with {text!r}"
 
 
 def free_address() -> Address:
     """An address of this machine that nothing listens on, and that no outgoing connection gets.
 
-    Guard: clients that try to connect until the proxy listens were given that very port as their own.
+    Guard: clients that try to connect before the proxy listens could be given that very port as their own,
+    which then can't be listened on. The port is taken from outside the range of outgoing connections.
     """
     (port,) = free_ports(1)
     return "127.0.0.1", port
 
 
-def write_config(folder: Path, row: dict[str, Any], listen: Address | None = None) -> Path:
+def write_config(folder: Path, document: dict[str, Any], listen: Address | None = None) -> Path:
     """Write a configuration file; with an address, the proxy listens there."""
     path = folder / "config.json"
-    path.write_bytes(orjson.dumps(row if listen is None else row | {"listen": "{}:{}".format(*listen)}))
+    path.write_bytes(
+        orjson.dumps(document if listen is None else document | {"listen": "{}:{}".format(*listen)})
+    )
     return path
 
 
-async def connect_client(address: Address) -> HttpClient:
-    return HttpClient(*await asyncio.open_connection(*address))
-
-
-async def ask_until_answered(address: Address, data: bytes) -> Message:
-    """Send a request, again on a new connection where there was no listener or the proxy closed one."""
+async def send_until_response(address: Address, data: bytes) -> Message:
+    """Send a request, again on a new connection while there is no listener or the proxy closes it."""
     while True:
-        raw = socket.socket()
-        raw.setblocking(False)
-        with contextlib.suppress(OSError, asyncio.IncompleteReadError):
+        with socket.socket() as raw, contextlib.suppress(OSError, asyncio.IncompleteReadError):
+            raw.setblocking(False)
             await asyncio.get_running_loop().sock_connect(raw, address)
             raw.send(data)
-            client = HttpClient(*await asyncio.open_connection(sock=raw))
-            try:
+            async with HttpClient(*await asyncio.open_connection(sock=raw)) as client:
                 return await client.read_response()
-            finally:
-                client.writer.close()
-        raw.close()
         await asyncio.sleep(RECONNECT_PAUSE_S)
--- /dev/null
+++ b/tests/support/scripted_policy.py
@@ -0,0 +1,36 @@
+"""A policy that returns the actions which its test chooses."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+from loadbalancer.actions import Action
+from loadbalancer.events import Event
+from loadbalancer.proxy.proxy import Proxy
+
+
+class ScriptedPolicy:
+    """Stands in for the policy: records its events and returns the actions that the test chooses."""
+
+    cursor = 0
+
+    def __init__(self, act: Callable[[Event], list[Action]] = lambda event: []) -> None:
+        self.act = act
+        self.events: list[Event] = []
+
+    def handle(self, now_ms: float, event: Event) -> list[Action]:
+        """Record an event and return the test's actions; the policy's own signature."""
+        self.events.append(event)
+        return self.act(event)
+
+    def events_of(self, kind: type) -> list[Any]:
+        """The recorded events of one type."""
+        return [event for event in self.events if isinstance(event, kind)]
+
+
+def script_policy(proxy: Proxy, act: Callable[[Event], list[Action]] = lambda event: []) -> ScriptedPolicy:
+    """Replace a proxy's policy by a scripted one, which is returned."""
+    policy = ScriptedPolicy(act)
+    proxy.policy = policy  # type: ignore[assignment]
+    return policy
