--- a/benchmarks/control_report.py
+++ b/benchmarks/control/report.py
@@ -8,17 +8,11 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.control_measurement import Cell, ChangeRate, FollowingNode, Plan
-from benchmarks.open_loop import histogram
-from benchmarks.processes import resident_mib
-from benchmarks.report import (
-    MIN_SLOPE_SIZES,
-    Slope,
-    format_table,
-    linear_regression,
-    standard_error,
-    write_results,
-)
+from benchmarks.control.measurement import Cell, ChangeRate, FollowingNode, Plan
+from benchmarks.support.open_loop import histogram
+from benchmarks.support.processes import resident_mib
+from benchmarks.support.regression import MIN_SLOPE_SIZES, Slope, linear_regression, standard_error
+from benchmarks.support.report import format_table, write_results
 
 BUDGET_CORES = 0.027
 BUDGET_MIB = 128.0
--- a/tests/proxy/test_connection_limits.py
+++ b/tests/proxy/test_connection_limits.py
@@ -82,7 +82,7 @@
         assert len(scripted.events_of(IncomingRequest)) == len(clients)
         await until(lambda: len(proxy.listener.connections) == len(clients))
         for at, client in enumerate(clients):
-            proxy._execute(Reject(f"q{at}"))
+            proxy.policy_runner.execute(Reject(f"q{at}"))
             assert (await client.read_response()).status == 503
             client.writer.close()
 
--- a/tests/proxy/test_forwarding.py
+++ b/tests/proxy/test_forwarding.py
@@ -100,7 +100,7 @@
         assert [event.attempt for event in outcomes] == [0, 1, 2, 3]
         assert outcomes[-1].result is AttemptResult.NOT_SENT
         proxy.policy = scripted = ScriptedPolicy()
-        proxy._execute(Send("q1", "s0"))
+        proxy.policy_runner.execute(Send("q1", "s0"))
         assert [(event.result, event.done) for event in scripted.events_of(AttemptOutcome)] == [
             (AttemptResult.NOT_SENT, True)
         ]
--- a/tests/proxy/test_start.py
+++ b/tests/proxy/test_start.py
@@ -32,7 +32,9 @@
     "loadbalancer": {"__main__", "actions", "events", "platform_settings", "settings"},
     "loadbalancer.discovery": {"endpoint_list", "watch_client", "watch_timing"},
     "loadbalancer.http": {
-        *("addresses", "client_connection", "limits", "listener", "request", "server_connection"),
+        *("addresses", "client_connection", "connection_registry", "eviction", "limits", "listener"),
+        *("listening_sockets", "request", "request_parser", "request_timeouts", "response_head"),
+        *("response_parser", "server_connection"),
         "socket_state",
     },
     "loadbalancer.policy": {
@@ -40,8 +42,9 @@
         *("requests", "selection", "slow_start"),
     },
     "loadbalancer.proxy": {
-        *("clock", "config", "connection_pool", "graceful_shutdown", "pending_request", "proxy"),
-        *("request_forwarding", "request_parsing", "statistics", "upstream_attempt"),
+        *("clock", "config", "connection_pool", "graceful_shutdown", "membership", "pending_request"),
+        *("policy_runner", "proxy", "request_forwarding", "request_intake", "request_parsing"),
+        *("statistics", "upstream_attempt"),
     },
 }
 EXTRA = {"__future__", "_bisect", "bisect", "_random", "random", "_sha512", "_sha2", "gc", "http", "math"}
--- a/tests/proxy/test_watch_races.py
+++ b/tests/proxy/test_watch_races.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from loadbalancer.discovery.watch_client import ANSWER_GRACE_S, EMPTY_ANSWER_PAUSE_S
+from loadbalancer.discovery.watch_client import EMPTY_RESPONSE_PAUSE_S, RESPONSE_GRACE_S
 from loadbalancer.discovery.watch_timing import WATCH_INITIAL_BACKOFF_MS
 from loadbalancer.events import UpdateKind
 from loadbalancer.http.addresses import Address
@@ -113,7 +113,7 @@
         silent.transport.write(sent_before)
         assert silent.revision == (1 if first else 7)
         reopened = await discovery.next_poll()
-        assert reopened.at_s - silent.at_s == pytest.approx(silent.wait_s + ANSWER_GRACE_S)
+        assert reopened.at_s - silent.at_s == pytest.approx(silent.wait_s + RESPONSE_GRACE_S)
         assert reopened.transport is not silent.transport
         assert reopened.revision == silent.revision
         silent.respond(8)  # ignored, as the proxy has closed this connection
@@ -197,7 +197,7 @@
         for _ in range(20):
             await asyncio.sleep(0)
         assert not discovery.has_poll
-        assert (await discovery.next_poll()).at_s - poll.at_s >= EMPTY_ANSWER_PAUSE_S
+        assert (await discovery.next_poll()).at_s - poll.at_s >= EMPTY_RESPONSE_PAUSE_S
 
 
 @pytest.mark.parametrize(
--- a/tests/support/model_time.py
+++ b/tests/support/model_time.py
@@ -78,7 +78,7 @@
             return await super().create_connection(protocol_factory, sock=sock)
         assert host is not None
         assert port is not None
-        await self.discovery.on_connect((host, port))
+        await self.discovery.on_connect(Address(host, port))
         client_socket, server_socket = socket.socketpair()
         await super().create_connection(lambda: _DiscoveryConnection(self.discovery), sock=server_socket)
         return await super().create_connection(protocol_factory, sock=client_socket)
--- a/tests/support/program.py
+++ b/tests/support/program.py
@@ -14,7 +14,7 @@
 
 import orjson
 
-from benchmarks.free_ports import free_ports
+from benchmarks.support.free_ports import free_ports
 from loadbalancer.http.addresses import Address
 from tests.support.loopback import HttpClient
 from tests.support.messages import Message
@@ -65,7 +65,7 @@
     which then can't be listened on. The port is taken from outside the range of outgoing connections.
     """
     (port,) = free_ports(1)
-    return "127.0.0.1", port
+    return Address("127.0.0.1", port)
 
 
 def write_config(folder: Path, document: dict[str, Any], listen: Address | None = None) -> Path:
