--- a/tests/proxy/test_attempt_races.py
+++ b/tests/proxy/test_attempt_races.py
@@ -3,38 +3,43 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import socket
 
 import pytest
 
 from loadbalancer.events import AttemptOutcome, AttemptResult, ClientDisconnected
-from loadbalancer.proxy.connection_pool import ConnectionPool
+from loadbalancer.http.addresses import Address
+from loadbalancer.http.client_connection import ClientConnection
+from loadbalancer.http.server_connection import ServerConnection
+from loadbalancer.proxy.proxy import Proxy
 from tests.support.loopback import (
     HttpClient,
     LoopbackServer,
-    ScriptedPolicy,
     StalledBackend,
-    read_message,
-    reply,
-    request,
+    always,
     running_proxy,
     send_request,
     until,
 )
-from tests.support.proxy import (
-    GatedConnects,
-    ManualServer,
-    policy_sending_to,
-    start_attempt,
+from tests.support.messages import read_message, reply, request
+from tests.support.model_time import AdjustableClock
+from tests.support.proxy import GatedConnects, ManualServer, make_pool, policy_sending_to, start_attempt
+from tests.support.scripted_policy import script_policy
+
+DEDUPLICATION_WINDOW_S = 10.0
+
+CAN_CANCEL = pytest.mark.parametrize(
+    "can_cancel", [pytest.param(True, id="can cancel"), pytest.param(False, id="cannot cancel")]
 )
 
 
 async def test_late_second_response_is_not_served_to_the_next_request(monkeypatch):
-    """The proxy writes the next request while the second answer to the one before is on its way."""
+    """The proxy writes the next request while a second response to the one before is under way."""
     monkeypatch.setattr("loadbalancer.proxy.connection_pool.REUSE_DELAY_S", 60.0)
     server = ManualServer()
     async with running_proxy(server) as proxy:
-        proxy.policy = ScriptedPolicy(policy_sending_to("s0"))
+        script_policy(proxy, policy_sending_to("s0"))
         client = await HttpClient.to(proxy)
         client.writer.write(request(name="q1"))
         await until(lambda: server.links)
@@ -43,51 +48,46 @@
         writer.write(reply(200, b"first"))
         assert (await client.read_response()).body == b"first"
         client.writer.write(request(name="q2"))
-        asked = [asyncio.ensure_future(read_message(reader))]
-        await until(lambda: asked[0].done() or len(server.links) == 2)
-        writer.write(reply(200, b"first"))  # the late second answer, after q2 has gone out
+        next_message = asyncio.ensure_future(read_message(reader))
+        await until(lambda: next_message.done() or len(server.links) == 2)
+        writer.write(reply(200, b"first"))  # the late second response, after q2 has been sent
         if len(server.links) == 2:
             await read_message(server.links[1][0])
         server.links[-1][1].write(reply(200, b"second"))
         assert (await client.read_response()).body == b"second"
-        asked[0].cancel()
-        client.writer.close()
-
-
-CAN_CANCEL = pytest.mark.parametrize("can_cancel", [True, False])
+        next_message.cancel()
 
 
 @CAN_CANCEL
-@pytest.mark.parametrize("half", [True, False])
-async def test_client_that_disconnects_while_its_attempt_connects_is_not_forwarded(can_cancel, half):
+@pytest.mark.parametrize(
+    "disconnect",
+    [
+        pytest.param(lambda client: client.writer.write_eof(), id="end of stream"),
+        pytest.param(lambda client: client.writer.close(), id="close"),
+    ],
+)
+async def test_client_that_disconnects_while_its_attempt_connects_is_not_forwarded(can_cancel, disconnect):
     server = LoopbackServer()
     async with running_proxy(server, bounds={"cancel": can_cancel}) as proxy:
         gated = GatedConnects(proxy)
         client = await HttpClient.to(proxy)
         client.writer.write(request("post", "left"))
         await until(lambda: gated.connects)
-        if half:
-            client.writer.write_eof()
-        else:
-            client.writer.close()
+        disconnect(client)
         await until(lambda: proxy.requests.open_count == 0)
         gated.gate.set()
         await until(lambda: not proxy.pool._connecting)
         assert (await send_request(proxy, request("post", "next"))).status == 200
-        assert [message.headers["req-id"] for message in server.seen] == ["next"]
+        assert server.request_ids == ["next"]
         assert not proxy.requests.by_id
         assert proxy.policy.endpoints.by_name["s0"].in_flight == 0.0
-        client.writer.close()
 
 
 @CAN_CANCEL
 async def test_client_that_disconnects_while_a_retry_connects_is_not_forwarded(can_cancel):
-    async def declines(message):
-        return reply(503, Srv_Declined="1")
-
-    full, other = LoopbackServer(declines), LoopbackServer()
+    full, other = LoopbackServer(always(reply(503, Srv_Declined="1"))), LoopbackServer()
     async with running_proxy(full, other, bounds={"cancel": can_cancel}) as proxy:
-        proxy.policy = scripted = ScriptedPolicy(policy_sending_to("s0", "s1"))
+        scripted = script_policy(proxy, policy_sending_to("s0", "s1"))
         client = await HttpClient.to(proxy)
         gated = GatedConnects(proxy, at_once=1)
         client.writer.write(request("post", "left"))
@@ -96,10 +96,8 @@
         await until(lambda: scripted.events_of(ClientDisconnected))
         gated.gate.set()
         await until(lambda: not proxy.pool._connecting)
-        assert [event.result for event in scripted.events_of(AttemptOutcome)] == [
-            AttemptResult.REJECTED,
-            AttemptResult.NOT_SENT,
-        ]
+        results = [event.result for event in scripted.events_of(AttemptOutcome)]
+        assert results == [AttemptResult.REJECTED, AttemptResult.NOT_SENT]
         assert other.seen == []
         assert not proxy.requests.by_id
 
@@ -116,30 +114,39 @@
         server.release.set()
         await until(lambda: not proxy.requests.by_id)
         assert (await send_request(proxy, request(name="next"))).status == 200
-        assert [message.headers["req-id"] for message in server.seen] == ["first", "next"]
+        assert server.request_ids == ["first", "next"]
+
+
+def fill_connections(proxy: Proxy) -> None:
+    """Have the proxy's connections to endpoints accept no more bytes once they are established."""
+    connect = proxy.pool.connect
+
+    async def connect_and_fill(address: Address) -> ClientConnection:
+        connection = await connect(address)
+        transport = connection._transport
+        assert transport is not None
+        while not transport.get_write_buffer_size():  # until the kernel accepts no more
+            transport.write(b"x" * 1000)
+        connection.resume_writing = lambda: None  # type: ignore[method-assign]
+        return connection
+
+    proxy.pool.connect = connect_and_fill  # type: ignore[method-assign]
 
 
 @CAN_CANCEL
 async def test_request_half_written_as_its_client_disconnects_is_not_sent(can_cancel):
-    """The server takes no more bytes: the rest waits in the proxy."""
+    """The server accepts no more bytes: the rest waits in the proxy."""
     server = ManualServer()
     async with running_proxy(server, bounds={"cancel": can_cancel}) as proxy:
-        proxy.policy = scripted = ScriptedPolicy(policy_sending_to("s0"))
-        opened = proxy.pool.connect
-
-        async def open_choked(endpoint):
-            connection = await opened(endpoint)
-            transport = connection._transport
-            while not transport.get_write_buffer_size():  # until the kernel takes no more
-                transport.write(b"x" * 1000)
-            connection.resume_writing = lambda: None
-            return connection
-
-        proxy.pool.connect = open_choked
+        scripted = script_policy(proxy, policy_sending_to("s0"))
+        fill_connections(proxy)
         client = await HttpClient.to(proxy)
         client.writer.write(request("post", "left", b"y" * 1000))
-        await until(lambda: proxy.requests.by_id and proxy.requests.by_id["left"].attempts[0]._connection)
-        assert not proxy.requests.by_id["left"].attempts[0].sent
+        await until(lambda: proxy.requests.by_id)
+        (attempt,) = proxy.requests.by_id["left"].attempts
+        assert attempt is not None
+        await until(lambda: attempt._connection)
+        assert not attempt.sent
         client.writer.close()
         await until(lambda: scripted.events_of(ClientDisconnected))
         assert [event.result for event in scripted.events_of(AttemptOutcome)] == [AttemptResult.NOT_SENT]
@@ -154,58 +161,52 @@
         client = await HttpClient.to(proxy)
         client.writer.write(request("post", "left"))
         await until(lambda: gated.connects)
-        opened = gated.connect_now
-
-        async def open_and_leave(endpoint):
-            connection = await opened(endpoint)
-            proxy.requests.by_id[
-                "left"
-            ].http_request.connection.abort()  # after coming up and before being written to
-            proxy.requests.by_id["left"].http_request.connection.connection_lost(None)
+        connect = gated.connect_now
+
+        async def connect_and_disconnect(address):
+            connection = await connect(address)
+            downstream = proxy.requests.by_id["left"].http_request.connection
+            assert isinstance(downstream, ServerConnection)
+            downstream.abort()  # once the attempt has its connection, and before anything is written to it
+            downstream.connection_lost(None)
             return connection
 
-        gated.connect_now = open_and_leave
+        gated.connect_now = connect_and_disconnect
         gated.gate.set()
         await until(lambda: not proxy.requests.by_id and not proxy.pool.size)
         assert server.seen == []
-        client.writer.close()
 
 
 async def test_cancelled_attempt_has_ended_before_the_next_one_is_sent():
     """In the same turn of the loop, in which asyncio has not closed the first one's socket yet."""
-    with socket.create_server(("127.0.0.1", 0)) as first:
-        servers = ConnectionPool(10, 60.0, 60.0)
-        servers.add("s", first.getsockname())
-        attempt = start_attempt(servers, "s", lambda *_: None, request(), 60.0)
+    with socket.create_server(("127.0.0.1", 0)) as server, contextlib.closing(make_pool()) as pool:
+        pool.add("s", Address(*server.getsockname()))
+        attempt = start_attempt(pool, "s", lambda *_: None, request(), 60.0)
         await until(lambda: attempt.sent)
-        peer, _ = first.accept()
+        peer, _ = server.accept()
         with peer:
-            peer.settimeout(20)
             assert peer.recv(10_000) == request()
             attempt.cancel()
             assert peer.recv(1) == b""  # the event loop has had no turn
-        servers.close()
 
 
 async def test_keyed_retry_that_connects_after_the_deduplication_window_is_not_sent():
-    async def fails(message):
+    async def fail(_message):
         proxy.policy.endpoints.ready = [proxy.policy.endpoints.by_name["s1"]]
         return reply(500)
 
-    first, second = LoopbackServer(fails), LoopbackServer()
-    kinds = [{"name": "move", "aimMs": 20000.0, "giveUpMs": 30000.0, "effect": "guarded"}]
-    kinds[0]["memorySpanMs"] = 300.0
-    async with running_proxy(first, second, settings={"categories": kinds}) as proxy:
+    clock = AdjustableClock()
+    first, second = LoopbackServer(fail), LoopbackServer()
+    keyed = {"name": "move", "aimMs": 20000.0, "giveUpMs": 30000.0, "effect": "guarded"}
+    settings = {"categories": [keyed | {"memorySpanMs": 1000.0 * DEDUPLICATION_WINDOW_S}]}
+    async with running_proxy(first, second, settings=settings) as proxy:
         gated = GatedConnects(proxy, at_once=1)
         proxy.policy.endpoints.ready = [proxy.policy.endpoints.by_name["s0"]]
         client = await HttpClient.to(proxy)
-        # The second connection comes up once the key may have been forgotten.
-        asked = asyncio.ensure_future(client.send(request("move", "q1", Idempotency_Key="k")))
+        response = asyncio.ensure_future(client.send(request("move", "q1", Idempotency_Key="k")))
         await until(lambda: gated.connects == 2)
-        forgotten = proxy.loop.time() + 0.3
-        await until(lambda: proxy.loop.time() > forgotten)
+        clock.advance(DEDUPLICATION_WINDOW_S)  # the endpoints may have forgotten the key
         gated.gate.set()
-        assert (await asked).status == 502
+        assert (await response).status == 502
         await until(lambda: not proxy.pool._connecting)
         assert second.seen == []
-        client.writer.close()
--- a/tests/proxy/test_client_disconnects.py
+++ b/tests/proxy/test_client_disconnects.py
@@ -6,15 +6,16 @@
 
 from __future__ import annotations
 
-import asyncio
 import contextlib
 import socket
+from collections.abc import AsyncIterator
 
 import pytest
 
 from loadbalancer.actions import Send
 from loadbalancer.events import AttemptOutcome, AttemptResult, ClientDisconnected
 from loadbalancer.http.server_connection import ServerConnection
+from loadbalancer.proxy.proxy import Proxy
 from tests.support.disconnects import (
     WAYS_TO_DISCONNECT,
     DisconnectingClient,
@@ -22,27 +23,18 @@
     disconnect_at_connection,
     disconnect_at_send,
 )
-from tests.support.loopback import (
-    HttpClient,
-    LoopbackServer,
-    ScriptedPolicy,
-    read_message,
-    reply,
-    request,
-    running_proxy,
-    send_request,
-    until,
+from tests.support.loopback import HttpClient, LoopbackServer, always, running_proxy, send_request, until
+from tests.support.messages import reply, request
+from tests.support.proxy import policy_sending_to
+from tests.support.scripted_policy import acting_on, script_policy
+from tests.support.slow_reader import LARGE_BODY, slow_reader
+
+CAN_CANCEL = pytest.mark.parametrize(
+    "can_cancel", [pytest.param(True, id="can cancel"), pytest.param(False, id="cannot cancel")]
 )
-from tests.support.proxy import (
-    policy_sending_to,
+REUSE = pytest.mark.parametrize(
+    "reuse", [pytest.param(True, id="pooled connections"), pytest.param(False, id="new connections")]
 )
-
-CAN_CANCEL = pytest.mark.parametrize("can_cancel", [True, False])
-
-
-REUSE = pytest.mark.parametrize("reuse", [True, False])  # of pooled connections, or new ones
-
-
 WAYS = pytest.mark.parametrize("way", WAYS_TO_DISCONNECT)
 
 
@@ -52,38 +44,43 @@
     monkeypatch.setattr("loadbalancer.proxy.connection_pool.REUSE_DELAY_S", 0.0)
 
 
-async def assert_disconnect_left_nothing(proxy, *seen: str, of: FailingFirstAttempt) -> None:
-    """No further attempt was sent; the counters are right; and the next request is served."""
-    await until(
-        lambda: proxy.requests.open_count == 0 and not proxy.requests.by_id and not proxy.pool._connecting
-    )
-    await until(
-        lambda: all(endpoint.in_flight == 0.0 for endpoint in proxy.policy.endpoints.by_name.values())
+def has_ended_all(proxy: Proxy) -> bool:
+    """Whether the proxy has no request, is not connecting, and its policy counts no attempt in flight."""
+    in_flight = [endpoint.in_flight for endpoint in proxy.policy.endpoints.by_name.values()]
+    return (
+        proxy.requests.open_count == 0
+        and not proxy.requests.by_id
+        and not proxy.pool._connecting
+        and not any(in_flight)
     )
+
+
+async def assert_disconnect_left_nothing(proxy: Proxy, backends: FailingFirstAttempt, *seen: str) -> None:
+    """No further attempt was sent; the counters are right; and the next request is served."""
+    await until(lambda: has_ended_all(proxy))
     assert not proxy.policy.requests.open
     assert (await send_request(proxy, request("post", "next"))).status == 200
-    assert sorted(of.seen) == sorted([*seen, "next"])
-    assert proxy.statistics.client_disconnects == 1
-    assert proxy.statistics.attempts["cancelled"] == 0
-    assert (
-        proxy.statistics.requests_received
-        == proxy.statistics.client_disconnects + proxy.statistics.responses[200]
-    )
+    assert sorted(backends.seen) == sorted([*seen, "next"])
+    statistics = proxy.statistics
+    assert statistics.client_disconnects == 1
+    assert statistics.attempts["cancelled"] == 0
+    assert statistics.requests_received == statistics.client_disconnects + statistics.responses[200]
     await until(lambda: len(proxy.listener.connections) == 0)
     assert proxy.requests.open_count == 0
 
 
 @contextlib.asynccontextmanager
-async def disconnecting(first_result: str, reuse: bool, way: str, can_cancel: bool):
+async def disconnecting(
+    first_result: str, reuse: bool, way: str, can_cancel: bool
+) -> AsyncIterator[tuple[FailingFirstAttempt, Proxy, DisconnectingClient]]:
     """The endpoints, the proxy and a client that is about to disconnect."""
     backends = FailingFirstAttempt(first_result)
     async with running_proxy(*backends.servers, bounds={"cancel": can_cancel}) as proxy:
         if reuse:
             await backends.open_connections(proxy)
         backends.prepare(proxy)
-        client = DisconnectingClient(proxy, way)
-        yield backends, proxy, client
-        client.close()
+        with contextlib.closing(DisconnectingClient(proxy, way)) as client:
+            yield backends, proxy, client
 
 
 @CAN_CANCEL
@@ -94,7 +91,7 @@
     async with disconnecting("none", reuse, way, can_cancel) as (backends, proxy, client):
         client.send(request("post", "abandoned"))
         client.disconnect()
-        await assert_disconnect_left_nothing(proxy, of=backends)
+        await assert_disconnect_left_nothing(proxy, backends)
 
 
 @CAN_CANCEL
@@ -109,45 +106,43 @@
         disconnect_at_send(proxy, 1 if first_result == "none" else 2, client)
         client.send(request("post" if first_result == "none" else "read", "abandoned"))
         await until(lambda: client.disconnected)
-        await assert_disconnect_left_nothing(
-            proxy, *([] if first_result in ("none", "refused") else ["abandoned"]), of=backends
-        )
+        seen = [] if first_result in ("none", "refused") else ["abandoned"]
+        await assert_disconnect_left_nothing(proxy, backends, *seen)
 
 
 @CAN_CANCEL
 @WAYS
 @REUSE
-@pytest.mark.parametrize("pipelined", [True, False])
-async def test_client_that_disconnects_as_its_second_request_is_about_to_be_sent(
-    pipelined, reuse, way, can_cancel
-):
-    """Pipelined: as the first response is written, and the second request waits for the next turn."""
+async def test_client_that_disconnects_as_its_second_request_is_about_to_be_sent(reuse, way, can_cancel):
     async with disconnecting("none", reuse, way, can_cancel) as (backends, proxy, client):
-        if pipelined:
-            answered = ServerConnection.respond
-
-            def answer_and_disconnect(connection, call, *answer):
-                answered(connection, call, *answer)
-                if call.headers[b"req-id"] == b"first":
-                    client.disconnect()
-
-            with pytest.MonkeyPatch.context() as patch:
-                patch.setattr(ServerConnection, "respond", answer_and_disconnect)
-                client.send(request("post", "first") + request("post", "abandoned"))
-                await until(lambda: client.disconnected)
-                await until(
-                    lambda: (
-                        proxy.requests.open_count == 0
-                        and not proxy.requests.by_id
-                        and not proxy.listener.connections
-                    )
-                )
-        else:
-            client.send(request("post", "first"))
-            assert (await client.read_response()).startswith(b"HTTP/1.1 200")
-            client.send(request("post", "abandoned"))
+        client.send(request("post", "first"))
+        assert (await client.read_response()).startswith(b"HTTP/1.1 200")
+        client.send(request("post", "abandoned"))
+        client.disconnect()
+        await assert_disconnect_left_nothing(proxy, backends, "first")
+
+
+@CAN_CANCEL
+@WAYS
+@REUSE
+async def test_client_that_disconnects_with_a_pipelined_request_about_to_be_sent(
+    reuse, way, can_cancel, monkeypatch
+):
+    """As the first response is written; the second request waits for the next turn."""
+    respond = ServerConnection.respond
+
+    def respond_and_disconnect(connection, http_request, *response):
+        respond(connection, http_request, *response)
+        if http_request.headers[b"req-id"] == b"first":
             client.disconnect()
-        await assert_disconnect_left_nothing(proxy, "first", of=backends)
+
+    async with disconnecting("none", reuse, way, can_cancel) as (backends, proxy, client):
+        with monkeypatch.context() as patch:
+            patch.setattr(ServerConnection, "respond", respond_and_disconnect)
+            client.send(request("post", "first") + request("post", "abandoned"))
+            await until(lambda: client.disconnected)
+            await until(lambda: has_ended_all(proxy) and not proxy.listener.connections)
+        await assert_disconnect_left_nothing(proxy, backends, "first")
 
 
 @CAN_CANCEL
@@ -159,9 +154,8 @@
         disconnect_at_connection(proxy, 1 if first_result == "none" else 2, client)
         client.send(request("read", "abandoned"))
         await until(lambda: client.disconnected)
-        await assert_disconnect_left_nothing(
-            proxy, *([] if first_result == "none" else ["abandoned"]), of=backends
-        )
+        seen = [] if first_result == "none" else ["abandoned"]
+        await assert_disconnect_left_nothing(proxy, backends, *seen)
 
 
 @CAN_CANCEL
@@ -172,87 +166,78 @@
     backends = FailingFirstAttempt("none")
     async with running_proxy(*backends.servers, bounds={"cancel": can_cancel}) as proxy:
         await backends.open_connections(proxy)
-        proxy.policy = scripted = ScriptedPolicy()
-        ended = ServerConnection.eof_received
+        scripted = script_policy(proxy)
+        eof_received = ServerConnection.eof_received
 
-        def end_and_send(connection):
+        def receive_eof_and_send(connection):
             proxy.loop.call_soon(proxy.policy_runner.execute, Send("abandoned", "s0"))
-            return ended(connection)
+            return eof_received(connection)
 
         client = await HttpClient.to(proxy)
         client.writer.write(request("post", "abandoned"))
         await until(lambda: proxy.requests.by_id)
-        monkeypatch.setattr(ServerConnection, "eof_received", end_and_send)
+        monkeypatch.setattr(ServerConnection, "eof_received", receive_eof_and_send)
         client.writer.close()
         await until(lambda: scripted.events_of(AttemptOutcome))
         outcomes = [(event.result, event.done) for event in scripted.events_of(AttemptOutcome)]
         assert outcomes == [(AttemptResult.NOT_SENT, True)]
         assert len(scripted.events_of(ClientDisconnected)) == 1
         await until(lambda: not proxy.requests.by_id and not proxy.listener.connections)
-        proxy.policy = ScriptedPolicy(policy_sending_to("s0"))
+        script_policy(proxy, policy_sending_to("s0"))
         assert (await send_request(proxy, request("post", "next"))).status == 200
         assert (proxy.requests.open_count, backends.seen) == (0, ["next"])
 
 
-BODY = b"z" * 65536
-
-
 async def test_client_that_ends_its_sending_and_reads_no_response_is_disconnected(monkeypatch):
     """asyncio keeps such a connection until all is read: its loss would never be reported."""
-
-    async def answers(message):
-        return reply(200, BODY)
-
     monkeypatch.setattr("loadbalancer.http.request_timeouts.UNREAD_TIMEOUT_S", 0.0)
     monkeypatch.setattr("loadbalancer.http.request_timeouts.LINGER_TIMEOUT_S", 0.0)
-    async with running_proxy(LoopbackServer(answers)) as proxy, contextlib.AsyncExitStack() as stack:
+    async with running_proxy(LoopbackServer(always(reply(200, LARGE_BODY)))) as proxy:
         send = policy_sending_to("s0")
+        only_first = acting_on(lambda event: send(event) if event.request_id == "first" else [])
+        scripted = script_policy(proxy, only_first)
+        async with slow_reader(proxy) as (client, connection):
+            client.sendall(request("post", "first") + request("post", "abandoned"))
+            await until(lambda: "abandoned" in proxy.requests.by_id)  # the first response waits to be read
+            assert connection.unsent_bytes
+            client.shutdown(socket.SHUT_WR)
+            await until(lambda: connection._transport.is_closing())
+            assert [event.request_id for event in scripted.events_of(ClientDisconnected)] == ["abandoned"]
+            assert (proxy.requests.open_count, proxy.requests.by_id) == (0, {})
+            proxy.policy_runner.execute(Send("abandoned", "s0"))
+            assert scripted.events_of(AttemptOutcome)[-1].result is AttemptResult.NOT_SENT
+            proxy.listener.timeouts.end_overdue()
+            await until(lambda: not proxy.listener.connections)
+
+
+class EagerClient(DisconnectingClient):
+    """Sends more in place of disconnecting."""
+
+    def __init__(self, proxy: Proxy, more: bytes) -> None:
+        super().__init__(proxy, "")
+        self._more = more
+
+    def disconnect(self) -> None:
+        self.disconnected = True
+        self.send(self._more)
 
-        def first(event):
-            return getattr(event, "request_id", "") == "first"
-
-        scripted = ScriptedPolicy(lambda event: send(event) if first(event) else [])
-        proxy.policy = scripted
-        raw = stack.enter_context(socket.socket())
-        raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1)
-        raw.connect(proxy.listener.address)
-        await until(lambda: proxy.listener.connections)
-        (connection,) = proxy.listener.connections
-        own = connection._transport.get_extra_info("socket")
-        own.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1)
-        raw.sendall(request("post", "first") + request("post", "abandoned"))
-        await until(lambda: "abandoned" in proxy.requests.by_id)  # the first response waits to be read
-        assert connection.unsent_bytes
-        raw.shutdown(socket.SHUT_WR)
-        await until(lambda: connection._transport.is_closing())
-        assert [event.request_id for event in scripted.events_of(ClientDisconnected)] == ["abandoned"]
-        assert (proxy.requests.open_count, proxy.requests.by_id) == (0, {})
-        proxy.policy_runner.execute(Send("abandoned", "s0"))
-        assert scripted.events_of(AttemptOutcome)[-1].result is AttemptResult.NOT_SENT
-        proxy.listener.timeouts.end_overdue()
-        await until(lambda: not proxy.listener.connections)
-
-
-@pytest.mark.parametrize("more", [request("post", "second"), request("post", "second")[:30]])
-@pytest.mark.parametrize("moment", [disconnect_at_send, disconnect_at_connection])
-async def test_client_whose_next_request_is_unread_is_not_disconnected(moment, more):
-    class EagerClient(DisconnectingClient):
-        def disconnect(self) -> None:
-            self.disconnected = True
-            self.send(more)
 
+SECOND_REQUEST = request("post", "second")
+
+
+@pytest.mark.parametrize(
+    "sent_bytes", [pytest.param(len(SECOND_REQUEST), id="whole"), pytest.param(30, id="half")]
+)
+@pytest.mark.parametrize("moment", [disconnect_at_send, disconnect_at_connection])
+async def test_client_whose_next_request_is_unread_is_not_disconnected(moment, sent_bytes):
     backends = FailingFirstAttempt("none")
     async with running_proxy(*backends.servers) as proxy:
-        client = EagerClient(proxy, "")
+        client = EagerClient(proxy, SECOND_REQUEST[:sent_bytes])
         moment(proxy, 1, client)
         client.send(request("post", "first"))
-        reader, writer = await asyncio.open_connection(sock=client._socket)
-        async with asyncio.timeout(20):
-            assert (await read_message(reader)).status == 200
+        async with await client.to_http_client() as http_client:
+            assert (await http_client.read_response()).status == 200
             assert client.disconnected
-            if len(more) == 30:
-                writer.write(request("post", "second")[30:])
-            assert (await read_message(reader)).status == 200
-        assert sorted(backends.seen) == ["first", "second"]
-        assert proxy.statistics.client_disconnects == 0
-        writer.close()
+            assert (await http_client.send(SECOND_REQUEST[sent_bytes:])).status == 200
+            assert sorted(backends.seen) == ["first", "second"]
+            assert proxy.statistics.client_disconnects == 0
--- a/tests/proxy/test_connection_limits.py
+++ b/tests/proxy/test_connection_limits.py
@@ -10,19 +10,18 @@
 from pathlib import Path
 
 from loadbalancer.actions import Reject
-from loadbalancer.events import (
-    IncomingRequest,
-)
+from loadbalancer.events import IncomingRequest
 from tests.support.loopback import (
     HttpClient,
     LoopbackServer,
-    ScriptedPolicy,
     StalledBackend,
-    request,
     running_proxy,
     send_request,
     until,
 )
+from tests.support.messages import request
+from tests.support.model_time import stop_listener_clock
+from tests.support.scripted_policy import script_policy
 
 
 def open_descriptors() -> int:
@@ -43,12 +42,11 @@
 
 async def test_flood_of_connections_stays_within_the_downstream_limit_and_is_accepted():
     async with running_proxy(LoopbackServer(), limits={"sockets": 132}) as proxy:
+        stop_listener_clock(proxy)
         clients = [await HttpClient.to(proxy) for _ in range(200)]
         await until(lambda: len(proxy.listener.connections) <= proxy.listener.limit)
         assert proxy.listener.limit == 67
         assert (await clients[-1].send(request())).status == 200
-        for client in clients:
-            client.writer.close()
 
 
 async def test_burst_of_connections_stays_within_the_descriptors_while_it_is_accepted():
@@ -56,23 +54,22 @@
         running_proxy(LoopbackServer(), limits={"sockets": 132}) as proxy,
         contextlib.AsyncExitStack() as stack,
     ):
-        gc.collect()  # what earlier tests left open would otherwise be closed while this one counts
+        gc.collect()  # a collection while this test counts could close descriptors of earlier tests
         before = open_descriptors()
         # All are in the kernel's queue before the proxy has a turn.
         burst = [stack.enter_context(socket.create_connection(proxy.listener.address)) for _ in range(200)]
         burst[-1].sendall(request())
         peak = 0
-        async with asyncio.timeout(20):
-            while not select.select([burst[-1]], [], [], 0)[0]:
-                peak = max(peak, open_descriptors() - before - len(burst))
-                await asyncio.sleep(0)
+        while not select.select([burst[-1]], [], [], 0)[0]:
+            peak = max(peak, open_descriptors() - before - len(burst))
+            await asyncio.sleep(0)
         assert burst[-1].recv(12) == b"HTTP/1.1 200"
         assert proxy.listener.limit <= peak <= 100
 
 
 async def test_request_over_the_connection_limit_is_rejected_and_its_connection_closed():
     async with running_proxy(LoopbackServer(), limits={"sockets": 132}) as proxy:
-        proxy.policy = scripted = ScriptedPolicy()  # holds every request
+        scripted = script_policy(proxy)  # holds every request
         clients = [await HttpClient.to(proxy) for _ in range(proxy.listener.limit)]
         for at, client in enumerate(clients):
             client.writer.write(request(name=f"q{at}"))
@@ -84,20 +81,18 @@
         for at, client in enumerate(clients):
             proxy.policy_runner.execute(Reject(f"q{at}"))
             assert (await client.read_response()).status == 503
-            client.writer.close()
 
 
 async def test_request_takes_the_place_of_a_connection_that_has_just_become_idle():
-    """Guard: connections idle for under 2 s used up the limit, and requests were rejected."""
+    """A request needs no grace period of idle connections to end, unlike a mere connection."""
     async with running_proxy(LoopbackServer(), limits={"sockets": 132}) as proxy:
+        stop_listener_clock(proxy)
         clients = [await HttpClient.to(proxy) for _ in range(proxy.listener.limit)]
         for at, client in enumerate(clients):
             assert (await client.send(request(name=f"q{at}"))).status == 200
         late = await HttpClient.to(proxy)
-        await until(lambda: len(proxy.listener.connections) > proxy.listener.limit)  # it alone takes no place
+        await until(lambda: len(proxy.listener.connections) > proxy.listener.limit)  # all stay open
         assert (await late.send(request(name="late"))).status == 200
         assert proxy.statistics.requests_over_limit == 0
         assert await clients[0].reader.read() == b""  # the one idle for longest
         assert (await clients[1].send(request(name="again"))).status == 200
-        for client in [*clients, late]:
-            client.writer.close()
--- a/tests/proxy/test_connection_state.py
+++ b/tests/proxy/test_connection_state.py
@@ -1,4 +1,4 @@
-"""A client connection's own view of what has been written, and whether it may be used again."""
+"""Whether a client connection counts a request as written, and whether it can be reused."""
 
 from __future__ import annotations
 
@@ -6,15 +6,14 @@
 import contextlib
 import socket
 import struct
+from collections.abc import AsyncIterator
 
 import pytest
 
 from loadbalancer.http.client_connection import ClientConnection, HttpResponse
 from loadbalancer.http.socket_state import has_unread_data
 from tests.support.loopback import until
-from tests.support.proxy import (
-    REQUEST_BYTES,
-)
+from tests.support.proxy import REQUEST_BYTES
 
 
 class RecordingExchange:
@@ -29,8 +28,8 @@
 
 
 @contextlib.asynccontextmanager
-async def connected_pair():
-    """A connection and the raw socket at its other end, which acts without the event loop's help."""
+async def connected_pair() -> AsyncIterator[tuple[ClientConnection, socket.socket]]:
+    """A connection and the blocking socket at its other end, which acts without the event loop."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         _, connection = await asyncio.get_running_loop().create_connection(
             lambda: ClientConnection(lambda _: None), *listener.getsockname()
@@ -41,12 +40,23 @@
         connection.abort()
 
 
+def reset(peer: socket.socket) -> None:
+    """Close the connection by a reset."""
+    peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    peer.close()
+
+
+def wait_for_unread_data(connection: ClientConnection) -> None:
+    """Wait, without a turn of the event loop, until the kernel has bytes, an end of stream or a reset."""
+    assert connection._transport is not None
+    while not has_unread_data(connection._transport):
+        pass
+
+
 async def test_write_that_fails_at_once_has_not_been_written():
     async with connected_pair() as (connection, peer):
-        peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        peer.close()
-        while not has_unread_data(connection._transport):
-            pass
+        reset(peer)
+        wait_for_unread_data(connection)
         exchange = RecordingExchange()
         connection.send_request(REQUEST_BYTES, exchange)
         await until(lambda: exchange.outcomes)
@@ -57,17 +67,17 @@
     async with connected_pair() as (connection, peer):
         assert connection.reusable
         peer.close()
-        while not has_unread_data(connection._transport):
-            pass
-        assert not connection.reusable  # the event loop has had no turn to say so
+        wait_for_unread_data(connection)
+        assert not connection.reusable  # though the event loop has had no turn to report it
 
 
-@pytest.mark.parametrize("read", [False, True])
+@pytest.mark.parametrize("read", [pytest.param(False, id="unread"), pytest.param(True, id="read")])
 async def test_buffered_request_counts_as_written_once_it_has_left(read):
     async with connected_pair() as (connection, peer):
         transport = connection._transport
+        assert transport is not None
         transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1)
-        while not transport.get_write_buffer_size():  # until the kernel takes no more
+        while not transport.get_write_buffer_size():  # until the kernel accepts no more
             transport.write(b"x" * 1000)
         connection.send_request(REQUEST_BYTES, exchange := RecordingExchange())
         assert 0 < transport.get_write_buffer_size() <= 1000 + len(REQUEST_BYTES)
@@ -76,7 +86,6 @@
             with contextlib.suppress(BlockingIOError):
                 peer.recv(1_000_000)
             await asyncio.sleep(0)
-        peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        peer.close()
+        reset(peer)
         await until(lambda: exchange.outcomes)
         assert exchange.outcomes == [read]
--- a/tests/proxy/test_event_loop_turns.py
+++ b/tests/proxy/test_event_loop_turns.py
@@ -1,8 +1,7 @@
-"""What one turn of the proxy's loop may cost: it grows in proportion, counted in calls, not in time."""
+"""The cost of one turn of the event loop, in function calls: it grows no faster than the input."""
 
 from __future__ import annotations
 
-import asyncio
 import sys
 from collections.abc import Callable
 
@@ -14,37 +13,33 @@
 from loadbalancer.events import UpdateKind
 from loadbalancer.http.client_connection import ClientConnection, HttpResponse
 from loadbalancer.http.limits import MAX_HEAD_BYTES
+from loadbalancer.http.server_connection import ServerConnection
+from loadbalancer.proxy.membership import Membership
 from loadbalancer.proxy.proxy import Proxy
-from tests.support.loopback import (
-    HttpClient,
-    LoopbackServer,
-    ScriptedDiscovery,
-    config,
-    endpoint_list_response,
-    running_proxy,
-    targets,
-    until,
-)
-
-SERVERS = 250
+from tests.support.loopback import HttpClient, LoopbackServer, ScriptedDiscovery, running_proxy, until
+from tests.support.messages import endpoint_list_response, targets
+from tests.support.proxy_config import config
+
+ENDPOINTS = 250
 FACTOR = 8
 
 
-class _Taken:
-    """Takes the answer of a discovery call."""
+class ListReceiver:
+    """Applies the endpoint list in discovery's response."""
 
-    def __init__(self, proxy: Proxy) -> None:
-        self.proxy = proxy
+    def __init__(self, membership: Membership) -> None:
+        self._membership = membership
 
     def on_response(self, response: HttpResponse) -> None:
-        self.proxy._on_endpoint_list(UpdateKind.COMPLETE, parse_endpoint_list(orjson.loads(response.body)))
+        endpoint_list = parse_endpoint_list(orjson.loads(response.body))
+        self._membership.apply(UpdateKind.COMPLETE, endpoint_list)
 
     def on_connection_lost(self, *, request_written: bool) -> None:
         raise AssertionError
 
 
-def counted(act: Callable[[], object]) -> int:
-    """Calls that this makes, Python's and C's."""
+def count_calls(act: Callable[[], None]) -> int:
+    """The number of calls of Python's and C's functions that this makes."""
     count = 0
 
     def note(_frame: object, event: str, _arg: object) -> None:
@@ -59,54 +54,52 @@
     return count
 
 
-async def calls(servers: int, pieces: int) -> int:
-    """Calls to take a list that replaces every server, in pieces of so many bytes."""
-    known, new = (
-        {f"{name}{at}": (f"127.0.0.1:{port}", "Ready") for at in range(servers)}
-        for name, port in (("old", 9), ("new", 10))
-    )
-    proxy = Proxy(config("127.0.0.1:1", known=targets(**known)))
-    proxy._on_endpoint_list(UpdateKind.CACHED, proxy.config.known_endpoints)
+def endpoints(name: str, count: int, port: int) -> dict[str, tuple[str, str]]:
+    return {f"{name}{number}": (f"127.0.0.1:{port}", "Ready") for number in range(count)}
+
+
+async def calls_for_list(endpoint_count: int, piece_bytes: int) -> int:
+    """Calls to receive a list that replaces every endpoint, in pieces of this length."""
+    known, new = endpoints("old", endpoint_count, 9), endpoints("new", endpoint_count, 10)
     data = endpoint_list_response(2, True, **new)
-    discovery = await ScriptedDiscovery().start()
-    transport, connection = await asyncio.get_running_loop().create_connection(
-        lambda: ClientConnection(lambda _: None, MAX_ENDPOINT_LIST_BYTES), "127.0.0.1", discovery.port
-    )
-    connection.send_request(b"GET / HTTP/1.1\r\n\r\n", _Taken(proxy))
-
-    count = counted(
-        lambda: [connection.data_received(data[at : at + pieces]) for at in range(0, len(data), pieces)]
-    )
-    assert proxy.ready_endpoints == set(new)
-    transport.abort()
-    proxy.close()
-    discovery.stop()
+    async with ScriptedDiscovery() as discovery:
+        proxy = Proxy(config(discovery.endpoint, known=targets(**known)))
+        proxy.membership.apply(UpdateKind.CACHED, proxy.config.known_endpoints)
+        _, connection = await proxy.loop.create_connection(
+            lambda: ClientConnection(lambda _: None, MAX_ENDPOINT_LIST_BYTES), "127.0.0.1", discovery.port
+        )
+        connection.send_request(b"GET / HTTP/1.1\r\n\r\n", ListReceiver(proxy.membership))
+
+        def receive() -> None:
+            for start in range(0, len(data), piece_bytes):
+                connection.data_received(data[start : start + piece_bytes])
+
+        count = count_calls(receive)
+        assert proxy.ready_endpoints == set(new)
+        connection.abort()
+        proxy.close()
     return count
 
 
-@pytest.mark.parametrize("pieces", [64, 1400, MAX_ENDPOINT_LIST_BYTES])
-def test_endpoint_list_costs_in_proportion_to_its_length(pieces):
-    async def main() -> tuple[int, int]:
-        return await calls(SERVERS, pieces), await calls(FACTOR * SERVERS, pieces)
-
-    short, long = asyncio.run(main())
+@pytest.mark.parametrize("piece_bytes", [64, 1400, MAX_ENDPOINT_LIST_BYTES])
+async def test_endpoint_list_costs_in_proportion_to_its_length(piece_bytes):
+    short, long = [await calls_for_list(count, piece_bytes) for count in (ENDPOINTS, FACTOR * ENDPOINTS)]
     assert long < 1.25 * FACTOR * short
 
 
-def test_head_that_is_too_long_is_not_read_further():
-    async def cost(size: int) -> int:
-        async with running_proxy(LoopbackServer()) as proxy:
-            client = await HttpClient.to(proxy)
-            await until(lambda: proxy.listener.connections)
-            (connection,) = proxy.listener.connections
-            head = b"GET /read/1 HTTP/1.1\r\n" + b"X-A: b\r\n" * (size // 8)
-            count = counted(lambda: connection.data_received(head))
-            assert (await client.read_response()).status == 400
-            client.writer.close()
-        return count
+async def calls_for_head(size_bytes: int) -> int:
+    """Calls to receive a request's head of this length, which is too long."""
+    async with running_proxy(LoopbackServer()) as proxy:
+        client = await HttpClient.to(proxy)
+        await until(lambda: proxy.listener.connections)
+        (connection,) = proxy.listener.connections
+        assert isinstance(connection, ServerConnection)
+        head = b"GET /read/1 HTTP/1.1\r\n" + b"X-A: b\r\n" * (size_bytes // 8)
+        count = count_calls(lambda: connection.data_received(head))
+        assert (await client.read_response()).status == 400
+    return count
 
-    async def main() -> tuple[int, int]:
-        return await cost(4 * MAX_HEAD_BYTES), await cost(16 * MAX_HEAD_BYTES)
 
-    short, long = asyncio.run(main())
+async def test_head_that_is_too_long_is_not_read_further():
+    short, long = [await calls_for_head(factor * MAX_HEAD_BYTES) for factor in (4, 16)]
     assert long < 1.25 * short
--- a/tests/proxy/test_forwarding.py
+++ b/tests/proxy/test_forwarding.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+import asyncio
+
 import pytest
 
 from loadbalancer.actions import Fail, Reject, Send
@@ -11,35 +13,31 @@
     AttemptResult,
     ClientDisconnected,
     Endpoint,
-    IncomingRequest,
     UpdateKind,
 )
+from loadbalancer.http.addresses import Address
 from tests.support.loopback import (
     HttpClient,
     LoopbackServer,
-    ScriptedPolicy,
     StalledBackend,
-    reply,
-    request,
+    always,
     running_proxy,
     send_request,
     until,
 )
-from tests.support.proxy import (
-    policy_sending_to,
-)
+from tests.support.messages import reply, request
+from tests.support.model_time import AdjustableClock
+from tests.support.proxy import policy_sending_to
+from tests.support.scripted_policy import acting_on, script_policy
 
 
 async def test_request_is_forwarded_unchanged_and_its_response_returned():
-    async def script(message):
-        return reply(200, b"posted", Srv_Load="TEXT inflight=7, queue=3, util=0.61")
-
-    server = LoopbackServer(script)
+    server = LoopbackServer(always(reply(200, b"posted", Srv_Load="TEXT inflight=7, queue=3, util=0.61")))
     async with running_proxy(server) as proxy:
-        answer = await send_request(
+        response = await send_request(
             proxy, request("post", "q7", b'{"a":1}', Req_Deadline_Ms="9000", Idempotency_Key="k1")
         )
-        assert (answer.status, answer.body) == (200, b"posted")
+        assert (response.status, response.body) == (200, b"posted")
         seen = server.seen[0]
         assert seen.first == ["POST", "/post/7f3a?x=1", "HTTP/1.1"]
         assert seen.body == b'{"a":1}'
@@ -58,7 +56,7 @@
 
     server = LoopbackServer(script)
     async with running_proxy(server) as proxy:
-        proxy.policy = scripted = ScriptedPolicy(policy_sending_to("s0"))
+        scripted = script_policy(proxy, policy_sending_to("s0"))
         assert (await send_request(proxy, request(kind, "q1"))).status == 200
         assert (await send_request(proxy, request(kind, "q2"))).status == 502  # on the pooled connection
         assert (server.connections, len(server.seen)) == (1, 2)
@@ -81,25 +79,19 @@
 
 
 async def test_attempt_past_the_maximum_or_of_an_ended_request_is_not_sent():
-    async def script(message):
-        return reply(500)
+    def retry(event):
+        not_sent = event.result is AttemptResult.NOT_SENT
+        return [Fail(event.request_id) if not_sent else Send(event.request_id, "s0")]
 
-    server = LoopbackServer(script)
+    server = LoopbackServer(always(reply(500)))
     async with running_proxy(server) as proxy:
-
-        def act(event):
-            not_sent = isinstance(event, AttemptOutcome) and event.result is AttemptResult.NOT_SENT
-            if isinstance(event, IncomingRequest | AttemptOutcome):
-                return [Fail(event.request_id)] if not_sent else [Send(event.request_id, "s0")]
-            return []
-
-        proxy.policy = scripted = ScriptedPolicy(act)
+        scripted = script_policy(proxy, acting_on(lambda event: [Send(event.request_id, "s0")], retry))
         assert (await send_request(proxy, request())).status == 502
         assert len(server.seen) == 3
         outcomes = scripted.events_of(AttemptOutcome)
         assert [event.attempt for event in outcomes] == [0, 1, 2, 3]
         assert outcomes[-1].result is AttemptResult.NOT_SENT
-        proxy.policy = scripted = ScriptedPolicy()
+        scripted = script_policy(proxy)
         proxy.policy_runner.execute(Send("q1", "s0"))
         assert [(event.result, event.done) for event in scripted.events_of(AttemptOutcome)] == [
             (AttemptResult.NOT_SENT, True)
@@ -123,13 +115,8 @@
 async def test_slower_hedged_request_has_its_outcome_after_the_request_has_ended():
     server = StalledBackend()
     async with running_proxy(server, LoopbackServer()) as proxy:
-
-        def act(event):
-            if isinstance(event, IncomingRequest):
-                return [Send(event.request_id, "s0"), Send(event.request_id, "s1")]
-            return []
-
-        proxy.policy = scripted = ScriptedPolicy(act)
+        hedge = acting_on(lambda event: [Send(event.request_id, name) for name in ("s0", "s1")])
+        scripted = script_policy(proxy, hedge)
         assert (await send_request(proxy, request())).body == b"done"
         server.release.set()
         await until(lambda: not proxy.requests.by_id)
@@ -138,16 +125,20 @@
 
 
 async def test_attempt_ends_before_the_deadline_whatever_its_timeout():
-    async with running_proxy(StalledBackend()) as proxy:
-
-        def act(event):
-            if isinstance(event, IncomingRequest):
-                return [Send(event.request_id, "s0", 60_000.0)]
-            return [Fail(event.request_id)] if isinstance(event, AttemptOutcome) else []
-
-        proxy.policy = scripted = ScriptedPolicy(act)
-        assert (await send_request(proxy, request(Req_Deadline_Ms="300"))).status == 504
-        # The policy answered its timeout before the proxy's backstop did.
+    clock = AdjustableClock()
+    server = StalledBackend()
+    async with running_proxy(server) as proxy:
+        send = acting_on(
+            lambda event: [Send(event.request_id, "s0", 60_000.0)], lambda event: [Fail(event.request_id)]
+        )
+        scripted = script_policy(proxy, send)
+        response = asyncio.create_task(send_request(proxy, request(Req_Deadline_Ms="10000")))
+        await until(lambda: server.seen)
+        while not response.done():
+            clock.advance(0.01)
+            await asyncio.sleep(0)
+        assert response.result().status == 504
+        # The policy failed the request on the time-out, before the proxy's backstop did.
         assert [event.result for event in scripted.events_of(AttemptOutcome)] == [AttemptResult.TIMEOUT]
         assert not scripted.events_of(ClientDisconnected)
 
@@ -155,13 +146,10 @@
 async def test_attempt_past_the_deadline_is_not_sent_and_touches_no_socket():
     server = LoopbackServer()
     async with running_proxy(server) as proxy:
-
-        def act(event):
-            if isinstance(event, IncomingRequest):
-                return [Send(event.request_id, "s0"), Send(event.request_id, "s0")]
-            return [Reject(event.request_id)] if isinstance(event, AttemptOutcome) else []
-
-        proxy.policy = scripted = ScriptedPolicy(act)
+        send_twice = acting_on(
+            lambda event: 2 * [Send(event.request_id, "s0")], lambda event: [Reject(event.request_id)]
+        )
+        scripted = script_policy(proxy, send_twice)
         assert (await send_request(proxy, request(Req_Deadline_Ms="0"))).status == 503
         outcomes = [(event.result, event.attempt) for event in scripted.events_of(AttemptOutcome)]
         assert outcomes == [(AttemptResult.NOT_SENT, 0), (AttemptResult.NOT_SENT, 1)]
@@ -173,17 +161,17 @@
     server = LoopbackServer()
     async with running_proxy(server) as proxy:
         assert (await send_request(proxy, request(name="q1"))).status == 200
-        endpoints = {"s0": ("127.0.0.1", server.port)}
-        for launched in (5.0, 5.0):
-            row = EndpointList(9, False, (Endpoint("s0", started_ms=launched),), endpoints)
-            proxy._on_endpoint_list(UpdateKind.DELTA, row)
+        endpoints = {"s0": Address("127.0.0.1", server.port)}
+        for started_ms in (5.0, 5.0):
+            endpoint_list = EndpointList(9, False, (Endpoint("s0", started_ms=started_ms),), endpoints)
+            proxy.membership.apply(UpdateKind.DELTA, endpoint_list)
             assert (await send_request(proxy, request(name="q2"))).status == 200
         assert server.connections == 2
 
 
 async def test_attempt_to_an_endpoint_that_is_not_in_the_pool_is_connect_failed():
     async with running_proxy(LoopbackServer()) as proxy:
-        proxy.policy = scripted = ScriptedPolicy(policy_sending_to("unknown"))
+        scripted = script_policy(proxy, policy_sending_to("unknown"))
         assert (await send_request(proxy, request())).status == 502
         (outcome,) = scripted.events_of(AttemptOutcome)
         assert (outcome.result, outcome.done) == (AttemptResult.CONNECT_FAILED, False)
--- a/tests/proxy/test_graceful_shutdown.py
+++ b/tests/proxy/test_graceful_shutdown.py
@@ -5,31 +5,27 @@
 import asyncio
 import contextlib
 import socket
+from collections.abc import AsyncIterator
 
 import pytest
 
 from loadbalancer.http.eviction import evict_one
 from loadbalancer.proxy import graceful_shutdown
 from loadbalancer.proxy.graceful_shutdown import shut_down
-from tests.support.loopback import (
-    HttpClient,
-    LoopbackServer,
-    ScriptedPolicy,
-    StalledBackend,
-    reply,
-    request,
-    running_proxy,
-    until,
-)
-from tests.support.proxy import (
-    GatedConnects,
-    policy_sending_to,
-)
+from loadbalancer.proxy.proxy import Proxy
+from tests.support.loopback import HttpClient, LoopbackServer, StalledBackend, always, running_proxy, until
+from tests.support.messages import reply, request
+from tests.support.model_time import stop_listener_clock
+from tests.support.proxy import GatedConnects, policy_sending_to
+from tests.support.scripted_policy import script_policy
+from tests.support.slow_reader import LARGE_BODY, slow_reader
+
+HALF = 30  # bytes of a request, of which the head is longer
 
 
 @pytest.fixture
 def short_shutdown(monkeypatch):
-    """A proxy that leaves service within a moment."""
+    """A shutdown that ends requests almost at once, and then leaves clients time to read."""
     monkeypatch.setattr(graceful_shutdown, "ACCEPT_GRACE_S", 0.0)
     monkeypatch.setattr(graceful_shutdown, "MAX_CLIENT_TIMEOUT_S", 0.0)
     monkeypatch.setattr(graceful_shutdown, "EXIT_MARGIN_S", 0.3)
@@ -37,74 +33,83 @@
     monkeypatch.setattr(graceful_shutdown, "LINGER_S", 20.0)
 
 
-async def test_request_in_flight_at_the_end_is_rejected_if_it_is_idempotent(short_shutdown):
-    """Its server hangs: the safe one is refused, the unsafe one that may have run fails."""
+@contextlib.asynccontextmanager
+async def shutting_down(proxy: Proxy) -> AsyncIterator[None]:
+    """Shut the proxy down, and wait for its end; the clients are closed within the context."""
+    shutdown = asyncio.create_task(shut_down(proxy))
+    yield
+    await shutdown
+
+
+async def connect_with_half_request(proxy: Proxy, data: bytes) -> HttpClient:
+    """A client in the middle of a request, which does not time out."""
+    stop_listener_clock(proxy)
+    client = await HttpClient.to(proxy)
+    client.writer.write(data[:HALF])
+    return client
+
+
+@pytest.mark.usefixtures("short_shutdown")
+async def test_request_in_flight_at_the_end_is_rejected_if_it_is_idempotent():
+    """Its server hangs: the idempotent one is rejected, the other one may have been executed and fails."""
     hung = StalledBackend()
     async with running_proxy(hung) as proxy:
         safe, unsafe = await HttpClient.to(proxy), await HttpClient.to(proxy)
         safe.writer.write(request("read", "safe"))
         unsafe.writer.write(request("post", "unsafe"))
         await until(lambda: len(hung.seen) == 2)
-        stopped = asyncio.ensure_future(shut_down(proxy))
-        assert ((await safe.read_response()).status, (await unsafe.read_response()).status) == (503, 502)
-        assert await safe.reader.read() == b""
-        safe.writer.close()
-        unsafe.writer.close()
-        await stopped
+        async with shutting_down(proxy), safe, unsafe:
+            assert ((await safe.read_response()).status, (await unsafe.read_response()).status) == (503, 502)
+            assert await safe.reader.read() == b""
 
 
-async def test_request_whose_attempt_connects_at_the_end_is_rejected_and_never_sent(short_shutdown):
+@pytest.mark.usefixtures("short_shutdown")
+async def test_request_whose_attempt_connects_at_the_end_is_rejected_and_never_sent():
     server = LoopbackServer()
     async with running_proxy(server) as proxy:
         gated = GatedConnects(proxy)
         client = await HttpClient.to(proxy)
         client.writer.write(request("post"))
         await until(lambda: gated.connects)
-        stopped = asyncio.ensure_future(shut_down(proxy))
-        assert (await client.read_response()).status == 503
-        gated.gate.set()
-        client.writer.close()
-        await stopped
+        async with shutting_down(proxy), client:
+            assert (await client.read_response()).status == 503
+            gated.gate.set()
         await until(lambda: not proxy.pool.size)
         assert server.seen == []
 
 
-async def test_request_read_after_the_end_of_the_others_is_rejected_at_once(short_shutdown):
+@pytest.mark.usefixtures("short_shutdown")
+async def test_request_read_after_the_end_of_the_others_is_rejected_at_once():
     server = StalledBackend()
+    late_request = request("post", "late")
     async with running_proxy(server) as proxy:
-        late, held = await HttpClient.to(proxy), await HttpClient.to(proxy)
-        late.writer.write(request("post", "late")[:30])  # so that it is not closed as idle
+        late, held = await connect_with_half_request(proxy, late_request), await HttpClient.to(proxy)
         held.writer.write(request("read", "held"))
-        await until(lambda: server.seen and proxy.listener.registry.awaiting_request)
-        stopped = asyncio.ensure_future(shut_down(proxy))
-        assert (await held.read_response()).status == 503
-        late.writer.write(request("post", "late")[30:])
-        assert (await late.read_response()).status == 503
-        assert [message.headers["req-id"] for message in server.seen] == ["held"]
-        held.writer.close()
-        late.writer.close()
-        await stopped
-
-
-async def test_request_half_read_when_the_shutdown_starts_is_served(short_shutdown, monkeypatch):
+        await until(lambda: server.seen)
+        async with shutting_down(proxy), late, held:
+            assert (await held.read_response()).status == 503
+            assert (await late.send(late_request[HALF:])).status == 503
+            assert server.request_ids == ["held"]
+
+
+@pytest.mark.usefixtures("short_shutdown")
+async def test_request_half_read_when_the_shutdown_starts_is_served(monkeypatch):
     monkeypatch.setattr(graceful_shutdown, "EXIT_MARGIN_S", 20.0)
     monkeypatch.setattr(graceful_shutdown, "CLOSING_PHASE_S", 20.0)
     server = StalledBackend()
+    half_request = request("post", "half")
     async with running_proxy(server) as proxy:
-        held, half = await HttpClient.to(proxy), await HttpClient.to(proxy)
+        half, held = await connect_with_half_request(proxy, half_request), await HttpClient.to(proxy)
         held.writer.write(request("read", "held"))
-        half.writer.write(request("post", "half")[:30])
-        await until(lambda: server.seen and proxy.listener.registry.awaiting_request)
-        stopped = asyncio.ensure_future(shut_down(proxy))
-        idle = await HttpClient.to(proxy)
-        assert await idle.reader.read() == b""  # by now idle connections are being closed
-        half.writer.write(request("post", "half")[30:])
-        server.release.set()
-        for client in (half, held):
-            answer = await client.read_response()
-            assert (answer.status, answer.headers["connection"]) == (200, "close")
-            client.writer.close()
-        await stopped
+        await until(lambda: server.seen)
+        async with shutting_down(proxy), half, held:
+            idle = await HttpClient.to(proxy)
+            assert await idle.reader.read() == b""  # by now idle connections are being closed
+            half.writer.write(half_request[HALF:])
+            server.release.set()
+            for client in (half, held):
+                response = await client.read_response()
+                assert (response.status, response.headers["connection"]) == (200, "close")
 
 
 async def test_connections_in_the_kernels_queue_are_served_when_listening_stops():
@@ -112,8 +117,8 @@
         running_proxy(LoopbackServer(), limits={"sockets": 132}) as proxy,
         contextlib.AsyncExitStack() as stack,
     ):
-        assert proxy.listener.limit // 20 == 3  # as many are accepted in a turn
-        proxy.policy = ScriptedPolicy(policy_sending_to("s0"))  # which refuses none
+        assert proxy.listener.limit // 20 == 3  # connections accepted in a turn
+        script_policy(proxy, policy_sending_to("s0"))  # which refuses none
         address = proxy.listener.address
         burst = [stack.enter_context(socket.create_connection(address)) for _ in range(30)]
         for at, client in enumerate(burst):
@@ -127,34 +132,26 @@
             assert client.recv(12) == b"HTTP/1.1 200"
 
 
-BODY = b"z" * 65536
-
-
-@pytest.mark.parametrize("keep", [True, False])
-async def test_closing_does_not_truncate_a_response_that_is_read_slowly(keep, monkeypatch):
-    async def answers(message):
-        return reply(200, BODY)
-
+@pytest.mark.parametrize(
+    "keep_alive", [pytest.param(True, id="kept alive"), pytest.param(False, id="closed")]
+)
+async def test_closing_does_not_truncate_a_response_that_is_read_slowly(keep_alive, monkeypatch):
     monkeypatch.setattr("loadbalancer.http.request_timeouts.LINGER_TIMEOUT_S", 0.0)
-    monkeypatch.setattr("loadbalancer.http.eviction.IDLE_GRACE_S", 0.0)
-    async with running_proxy(LoopbackServer(answers)) as proxy, contextlib.AsyncExitStack() as stack:
-        raw = stack.enter_context(socket.socket())
-        raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1)
-        raw.connect(proxy.listener.address)
-        await until(lambda: proxy.listener.connections)
-        (connection,) = proxy.listener.connections
-        own = connection._transport.get_extra_info("socket")
-        own.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1)
-        raw.sendall(request("post", Connection="keep-alive" if keep else "close"))
+    async with (
+        running_proxy(LoopbackServer(always(reply(200, LARGE_BODY)))) as proxy,
+        slow_reader(proxy) as (client, connection),
+    ):
+        client.sendall(request("post", Connection="keep-alive" if keep_alive else "close"))
         await until(lambda: proxy.statistics.responses[200])
-        assert connection._transport.get_write_buffer_size()
+        assert connection.unsent_bytes
         # All that closes connections without a request has its turn.
         proxy.listener.timeouts.end_overdue()
         proxy.listener.close_idle_connections()
-        evict_one(proxy.listener.registry, 0.0) if keep else None
-        raw.setblocking(False)
-        got = b""
-        while not got.endswith(BODY):
-            part = await asyncio.get_running_loop().sock_recv(raw, 65536)
-            assert part, f"cut short after {len(got)} bytes"
-            got += part
+        if keep_alive:
+            evict_one(proxy.listener.registry, idle_grace_s=0.0)
+        client.setblocking(False)
+        received = b""
+        while not received.endswith(LARGE_BODY):
+            part = await proxy.loop.sock_recv(client, 65536)
+            assert part, f"cut short after {len(received)} bytes"
+            received += part
--- a/tests/proxy/test_watch_races.py
+++ b/tests/proxy/test_watch_races.py
@@ -24,7 +24,7 @@
 
 PUSH = {"registryMode": "push"}
 READY_ENDPOINT = ("127.0.0.1:9", "Ready")
-OTHER_ADDRESS = ("127.0.0.1", 2)
+OTHER_ADDRESS = Address("127.0.0.1", 2)
 
 
 @dataclass(frozen=True)
@@ -60,7 +60,7 @@
 
     def __init__(self) -> None:
         self._polls: asyncio.Queue[Poll] = asyncio.Queue()
-        self._address = ("", 0)  # of the latest connection
+        self._address = Address("", 0)  # of the latest connection
         self._loop = asyncio.get_running_loop()
 
     async def on_connect(self, address: Address) -> None:
--- a/tests/support/disconnects.py
+++ b/tests/support/disconnects.py
@@ -13,7 +13,8 @@
 from loadbalancer.http.client_connection import ClientConnection
 from loadbalancer.proxy.connection_pool import EndpointConnections
 from loadbalancer.proxy.proxy import Proxy
-from tests.support.loopback import LoopbackServer, Message, reply, request, send_request, until
+from tests.support.loopback import HttpClient, LoopbackServer, send_request, until
+from tests.support.messages import Message, reply, request
 
 WAYS_TO_DISCONNECT = (
     "by closing",
@@ -36,9 +37,13 @@
 
     async def read_response(self) -> bytes:
         self._socket.setblocking(False)
-        answer = await asyncio.get_running_loop().sock_recv(self._socket, 65536)
+        response = await asyncio.get_running_loop().sock_recv(self._socket, 65536)
         self._socket.setblocking(True)
-        return answer
+        return response
+
+    async def to_http_client(self) -> HttpClient:
+        """A client on the same socket, which it closes."""
+        return HttpClient(*await asyncio.open_connection(sock=self._socket))
 
     def disconnect(self) -> None:
         self.disconnected = True
@@ -103,24 +108,24 @@
 
     def __init__(self, first_result: str) -> None:
         self._first_result = first_result
-        self.servers = (LoopbackServer(self._answer), LoopbackServer(self._answer))
+        self.servers = (LoopbackServer(self._respond), LoopbackServer(self._respond))
 
     @property
     def seen(self) -> list[str]:
         """The ids of the requests that have reached an endpoint, those that opened connections apart."""
-        ids = [message.headers["req-id"] for server in self.servers for message in server.seen]
+        ids = [request_id for server in self.servers for request_id in server.request_ids]
         return [request_id for request_id in ids if not request_id.startswith("warm")]
 
     async def open_connections(self, proxy: Proxy) -> None:
         """Leave one idle connection to each endpoint in the proxy's pool."""
-        for at in range(len(self.servers)):
-            proxy.policy.endpoints.ready = [proxy.policy.endpoints.by_name[f"s{at}"]]
-            assert (await send_request(proxy, request("post", f"warm{at}"))).status == 200
+        for number in range(len(self.servers)):
+            proxy.policy.endpoints.ready = [proxy.policy.endpoints.by_name[f"s{number}"]]
+            assert (await send_request(proxy, request("post", f"warm{number}"))).status == 200
         proxy.policy.endpoints.ready = list(proxy.policy.endpoints.by_name.values())
         await until(lambda: not proxy.listener.connections)
         proxy.statistics.reset()
 
-    async def _answer(self, message: Message) -> bytes | None:
+    async def _respond(self, message: Message) -> bytes | None:
         if message.headers["req-id"] in ("warm0", "warm1") or len(self.seen) > 1:
             return reply()
         responses = {"declined": reply(503, Srv_Declined="1"), "error": reply(500), "reset": None}
--- a/tests/support/model_time.py
+++ b/tests/support/model_time.py
@@ -15,6 +15,7 @@
 from typing import Any, Protocol, TypeVar
 
 from loadbalancer.http.addresses import Address
+from loadbalancer.proxy.proxy import Proxy
 from tests.support.messages import endpoint_list_response, reply
 
 _Result = TypeVar("_Result")
@@ -181,3 +182,30 @@
         """Wait until `count` more attempts have been made."""
         for _ in range(count):
             await self.attempts.get()
+
+
+class AdjustableClock:
+    """The running event loop's clock, which a test can advance.
+
+    It has to be made before the objects that keep the loop's clock.
+    """
+
+    def __init__(self) -> None:
+        loop = asyncio.get_running_loop()
+        self._time = loop.time
+        self._advance_s = 0.0
+        loop.time = self.time  # type: ignore[method-assign]
+
+    def time(self) -> float:
+        """The loop's time, in seconds."""
+        return self._time() + self._advance_s
+
+    def advance(self, duration_s: float) -> None:
+        """Let time pass at once."""
+        self._advance_s += duration_s
+
+
+def stop_listener_clock(proxy: Proxy) -> None:
+    """Have no time pass for the proxy's listener: no time-out or grace period of its connections ends."""
+    now_s = proxy.loop.time()
+    proxy.listener.registry.clock = lambda: now_s
--- a/tests/support/scripted_policy.py
+++ b/tests/support/scripted_policy.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from typing import Any
 
 from loadbalancer.actions import Action
-from loadbalancer.events import Event
+from loadbalancer.events import AttemptOutcome, Event, IncomingRequest
 from loadbalancer.proxy.proxy import Proxy
 
 
@@ -34,3 +34,20 @@
     policy = ScriptedPolicy(act)
     proxy.policy = policy  # type: ignore[assignment]
     return policy
+
+
+def acting_on(
+    requests: Callable[[IncomingRequest], Sequence[Action]] = lambda event: [],
+    outcomes: Callable[[AttemptOutcome], Sequence[Action]] = lambda event: [],
+) -> Callable[[Event], list[Action]]:
+    """What a scripted policy does: these actions on requests and on outcomes, and none on other events."""
+
+    def act(event: Event) -> list[Action]:
+        match event:
+            case IncomingRequest():
+                return list(requests(event))
+            case AttemptOutcome():
+                return list(outcomes(event))
+        return []
+
+    return act
