--- a/benchmarks/call_profile/__main__.py
+++ b/benchmarks/call_profile/__main__.py
@@ -1,7 +1,7 @@
-"""Where the processor time of a request through a real proxy goes: `python -m benchmarks.call_profile`.
+"""Profile a request through a real proxy by stage: `python -m benchmarks.call_profile`.
 
-Proxies with lists of several sizes sample themselves while they are called in turn. A stage's microseconds a
-request are its fraction of the samples times the processor time a request, the proxy's idle work included.
+Proxies with lists of several sizes sample themselves while they get requests in turn. A stage's microseconds
+a request are its fraction of the samples times the processor time a request, the proxy's idle work included.
 """
 
 from __future__ import annotations
@@ -10,14 +10,19 @@
 import os
 from collections import Counter
 from collections.abc import Mapping
-from dataclasses import dataclass, field, replace
+from dataclasses import dataclass, replace
 from pathlib import Path
-from typing import Any
 
 import click
 import msgspec
 
-from benchmarks.call_profile.profiled_proxy import OUTPUT_VARIABLE, START_SIGNAL, STOP_SIGNAL, ProfileCounts
+from benchmarks.call_profile.profile import Profile, function_records, stage_records, total_records
+from benchmarks.call_profile.profiled_proxy import (
+    OUTPUT_VARIABLE,
+    START_SIGNAL,
+    STOP_SIGNAL,
+    ProfileCounts,
+)
 from benchmarks.support.node_setup import (
     DEFAULT_LIST_SIZES,
     ORDINARY_RATE,
@@ -26,7 +31,7 @@
     node_setup,
     stop_garbage_collection,
 )
-from benchmarks.support.open_loop import MICROSECONDS_PER_S, run_with_exact_timers
+from benchmarks.support.open_loop import run_with_exact_timers
 from benchmarks.support.options import (
     make_plan,
     out_option,
@@ -40,48 +45,26 @@
 from benchmarks.support.regression import MIN_SLOPE_SIZES, Slope, linear_regression
 from benchmarks.support.report import format_table, write_results
 
-LISTED_FUNCTIONS = 12  # of each size, those with the most samples
 PROFILE_POLL_S = 0.01
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What is run."""
+    """The slices of a run."""
 
     seconds: float = 8.0  # of requests in each slice
     rounds: int = 4  # of all sizes
     rate: float = ORDINARY_RATE  # requests a second
     sizes: tuple[int, ...] = DEFAULT_LIST_SIZES
-    service_ms: float = 0.0  # a backend's time for a request
+    service_ms: float = 0.0  # a backend's service time of a request
     seed: int = 7
 
 
-@dataclass(slots=True)
-class Profile:
-    """What was seen of the proxy with one size of list."""
-
-    requests: int = 0
-    cpu_s: float = 0.0
-    opened: int = 0  # connections to backends
-    stage_samples: Counter[str] = field(default_factory=Counter)
-    function_samples: Counter[str] = field(default_factory=Counter)
-
-    @property
-    def samples(self) -> int:
-        """All samples."""
-        return self.stage_samples.total()
-
-    def us_per_request(self, samples: int) -> float:
-        """Return the microseconds a request that so many samples stand for."""
-        cpu_us = self.cpu_s / max(1, self.requests) * MICROSECONDS_PER_S
-        return samples / max(1, self.samples) * cpu_us
-
-
 async def read_counts(path: Path) -> ProfileCounts:
-    """Return the counts that a proxy writes to a file, as soon as they are there, and remove the file.
+    """Wait for the counts that a proxy writes to a file, remove the file, and return the counts.
 
     Raises:
-        TimeoutError: There is no file after `START_TIMEOUT_S`.
+        TimeoutError: The file does not exist after `START_TIMEOUT_S`.
     """
     async with asyncio.timeout(START_TIMEOUT_S):
         while True:
@@ -120,7 +103,7 @@
 
 
 async def profile_slice(plan: Plan, setup: NodeSetup, size: int, output: Path, profile: Profile) -> None:
-    """Run one slice of requests through a proxy that samples itself meanwhile, and add it to the profile."""
+    """Send a slice of requests through a proxy that samples itself, and add the counts to its profile."""
     proxy = setup.proxies[size]
     accepted = await setup.backends.accepted_connections()
     os.kill(proxy.pid, START_SIGNAL)
@@ -135,59 +118,23 @@
     profile.opened += await setup.backends.accepted_connections() - accepted
 
 
-def stage_records(profiles: Mapping[int, Profile]) -> list[dict[str, Any]]:
-    """Return microseconds a request by stage and size of list, the most at the largest list first."""
-    stages = set().union(*(profile.stage_samples for profile in profiles.values()))
-    largest = profiles[max(profiles)]
-    return [
-        {"stage": stage}
-        | {
-            f"us_at_{size}": profile.us_per_request(profile.stage_samples[stage])
-            for size, profile in sorted(profiles.items())
-        }
-        for stage in sorted(stages, key=lambda stage: -largest.stage_samples[stage])
-    ]
-
-
-def total_records(profiles: Mapping[int, Profile]) -> list[dict[str, Any]]:
-    """Return a record for each size of list: requests, samples and processor time."""
-    return [
-        {
-            "list": size,
-            "calls": profile.requests,
-            "samples": profile.samples,
-            "cpu_us": profile.us_per_request(profile.samples),
-            "opened_per_call": profile.opened / profile.requests,
-            "load": os.getloadavg()[0],
-        }
-        for size, profile in sorted(profiles.items())
-    ]
-
-
-def function_records(profiles: Mapping[int, Profile]) -> list[dict[str, Any]]:
-    """Return the functions with the most samples at each size of list."""
-    return [
-        {"list": size, "function": name, "us": profile.us_per_request(samples)}
-        for size, profile in sorted(profiles.items())
-        for name, samples in profile.function_samples.most_common(LISTED_FUNCTIONS)
-    ]
-
-
 def report(plan: Plan, out: Path, profiles: Mapping[int, Profile]) -> None:
     """Print the tables and write the result file."""
-    stages, totals, functions = stage_records(profiles), total_records(profiles), function_records(profiles)
-    print(format_table(totals), format_table(stages), sep="\n\n")
-    print("\nFunctions, without what they call:\n" + format_table(functions))
+    stages = stage_records(profiles)
+    stage_rows = [record.row() for record in stages]
+    total_rows = [record.row() for record in total_records(profiles)]
+    function_rows = [record.row() for record in function_records(profiles)]
+    print(format_table(total_rows), format_table(stage_rows), sep="\n\n")
+    print("\nFunctions, without the functions that they call:\n" + format_table(function_rows))
     slopes: dict[str, Slope] = {}
     if len(profiles) >= MIN_SLOPE_SIZES:
-        sizes = sorted(profiles)
         slopes = {
-            record["stage"]: linear_regression(sizes, [record[f"us_at_{size}"] for size in sizes])
+            record.stage: linear_regression(list(record.us_by_size), list(record.us_by_size.values()))
             for record in stages
         }
-        for name, slope in slopes.items():
-            print(f"{name}: {slope.base:.4g} + {slope.per_unit:.4g} ± {slope.error:.2g} us a server")
-    write_results(out, totals, slopes, plan=plan, stages=stages, functions=functions)
+    for name, slope in slopes.items():
+        print(f"{name}: {slope.base:.4g} + {slope.per_unit:.4g} ± {slope.error:.2g} us a server")
+    write_results(out, total_rows, slopes, plan=plan, stages=stage_rows, functions=function_rows)
 
 
 @click.command()
--- a/benchmarks/control/__main__.py
+++ b/benchmarks/control/__main__.py
@@ -1,7 +1,7 @@
-"""The command that measures what following the list costs a real proxy that carries no requests.
+"""Measure the cost of following an endpoint list to a real proxy: `python -m benchmarks.control`.
 
-Run as `python -m benchmarks.control`. Proxies with lists of several sizes run side by side, each on a list
-server of its own in this process.
+The proxies carry no requests. Proxies with lists of several sizes run side by side, each on a list server of
+its own in this process.
 """
 
 from __future__ import annotations
@@ -13,18 +13,13 @@
 from dataclasses import replace
 from functools import partial
 from pathlib import Path
-from typing import Any
 
 import click
 
-from benchmarks.control.measurement import (
-    ChangeRate,
-    FollowingNode,
-    Plan,
-    measure_change,
-    run_rounds,
-)
-from benchmarks.control.report import ControlResults, rate_records, report
+from benchmarks.control.following_node import FollowingNode
+from benchmarks.control.measurement import measure_change, run_rounds
+from benchmarks.control.plan import ChangeRate, Plan
+from benchmarks.control.report import ControlResults, rate_rows, report
 from benchmarks.support.open_loop import run_with_exact_timers
 from benchmarks.support.options import make_plan, out_option, quick_option, seed_option, sizes_option
 
@@ -50,21 +45,26 @@
     cells = await run_rounds(plan, nodes)
     for node in nodes:
         node.idle_cores = statistics.mean(cells[ChangeRate(node.size, 0.0)].cores)
-    rates = rate_records(plan, cells, nodes)
-    complete_lists: list[dict[str, Any]] = []
-    for node in nodes:
-        cost = await measure_change(node, list, plan.repeats, compact=True)
-        complete_lists.append({"list": node.size} | cost.record())
+    rates = rate_rows(plan, cells, nodes)
+    complete_lists = [await measure_complete_list(plan, node) for node in nodes]
     largest = nodes[-1]
-    losses: list[dict[str, Any]] = []
-    for count in plan.losses:
-        if count <= largest.size:
-            next_losses = partial(largest.churn.next_losses, count)
-            cost = await measure_change(largest, next_losses, plan.repeats, restore=True)
-            losses.append({"list": largest.size, "lost": count} | cost.record())
+    losses = [await measure_loss(plan, largest, count) for count in plan.losses if count <= largest.size]
     return ControlResults(rates, complete_lists, losses)
 
 
+async def measure_complete_list(plan: Plan, node: FollowingNode) -> dict[str, object]:
+    """Return the row of a node's complete list."""
+    cost = await measure_change(node, list, plan.repeats, compact=True)
+    return {"list": node.size} | cost.record().row()
+
+
+async def measure_loss(plan: Plan, node: FollowingNode, count: int) -> dict[str, object]:
+    """Return the row of the loss of `count` entries at once."""
+    next_losses = partial(node.churn.next_losses, count)
+    cost = await measure_change(node, next_losses, plan.repeats, restore=True)
+    return {"list": node.size, "lost": count} | cost.record().row()
+
+
 @click.command()
 @sizes_option("13,100,400,1000,2000")
 @click.option("--seconds", default=24.0, show_default=True, help="For each rate of change.")
--- /dev/null
+++ b/benchmarks/control/following_node.py
@@ -0,0 +1,109 @@
+"""A proxy that follows an endpoint list of this process, and the times until changes are in force.
+
+A change is in force once the proxy's watch polls with its revision: the proxy applies a revision before it
+polls for the next one.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections.abc import Sequence
+from dataclasses import dataclass
+from pathlib import Path
+
+from benchmarks.support.list_server import UNUSED_ADDRESS, ListServer
+from benchmarks.support.membership import Churn, EndpointEntry, Membership, make_entries
+from benchmarks.support.open_loop import MICROSECONDS_PER_S
+from benchmarks.support.processes import cpu_seconds, run_queue_seconds
+from benchmarks.support.proxy_process import ProxyProcess, proxy_configuration
+
+IN_FORCE_TIMEOUT_S = 30.0  # within which a change has to be in force, or the run fails
+MILLISECONDS_PER_S = 1e3
+
+
+class FollowingNode:
+    """A list server of this process and the proxy that follows it."""
+
+    def __init__(self, size: int, seed: int) -> None:
+        self.size = size
+        self.server = ListServer(Membership(make_entries([UNUSED_ADDRESS] * size, seed)))
+        self.server.on_poll = self._on_poll
+        self.churn = Churn(self.server.membership, seed)
+        self.in_force_us: list[float] = []  # an item for each change since it was last cleared
+        self.idle_cores = 0.0  # in use without changes; set once that is measured
+        self.proxy: ProxyProcess
+        self._pending_since: dict[int, float] = {}  # write times by revision
+        self._all_in_force = asyncio.Event()
+
+    async def start(self, folder: Path, seed: int) -> None:
+        """Start the list server and the proxy."""
+        address = await self.server.listen()
+        membership = self.server.membership
+        name = f"n{self.size}"
+        configuration = proxy_configuration(name, address, membership.complete_list(), seed=seed)
+        self.proxy = await ProxyProcess.start(folder, name, configuration)
+
+    async def stop(self) -> None:
+        """End the proxy, if it was started, and the list server."""
+        if hasattr(self, "proxy"):
+            await self.proxy.stop()
+        self.server.close()
+
+    @property
+    def bytes_exchanged(self) -> int:
+        """Bytes in and out of the list server since the start."""
+        return self.server.bytes_in + self.server.bytes_out
+
+    def change(self, entries: Sequence[EndpointEntry], *, compact: bool = False) -> None:
+        """Apply changed entries at the list server; see `ListServer.change`."""
+        self._all_in_force.clear()
+        self._pending_since[self.server.membership.revision + 1] = time.perf_counter()
+        self.server.change(entries, compact=compact)
+
+    async def wait_until_in_force(self) -> None:
+        """Wait until all changes are in force at the proxy.
+
+        Raises:
+            TimeoutError: A change is not in force after `IN_FORCE_TIMEOUT_S`.
+        """
+        async with asyncio.timeout(IN_FORCE_TIMEOUT_S):
+            await self._all_in_force.wait()
+
+    def _on_poll(self, since: int | None) -> None:
+        now = time.perf_counter()
+        in_force = [revision for revision in self._pending_since if since is not None and revision <= since]
+        for revision in in_force:
+            self.in_force_us.append((now - self._pending_since.pop(revision)) * MICROSECONDS_PER_S)
+        if not self._pending_since:
+            self._all_in_force.set()
+
+    async def run_churn(self, per_s: float, seconds: float) -> None:
+        """Make `per_s` single changes a second, evenly spaced, for `seconds`."""
+        loop = asyncio.get_running_loop()
+        started, count = loop.time(), round(per_s * seconds)
+        for index in range(count):
+            due = started + (index + 0.5) / per_s
+            await asyncio.sleep(max(0.0, due - loop.time()))
+            self.change(self.churn.next_changes(1, int(time.time() * MILLISECONDS_PER_S)))
+        await asyncio.sleep(max(0.0, started + seconds - loop.time()))
+
+
+@dataclass(frozen=True, slots=True)
+class UsageSnapshot:
+    """A proxy's resource usage and its list server's traffic, up to a moment."""
+
+    loop_s: float
+    cpu_s: float
+    run_queue_s: float
+    bytes_exchanged: int
+
+    @staticmethod
+    def of(node: FollowingNode) -> UsageSnapshot:
+        """Read the current usage."""
+        return UsageSnapshot(
+            asyncio.get_running_loop().time(),
+            cpu_seconds(node.proxy.pid),
+            run_queue_seconds(node.proxy.pid),
+            node.bytes_exchanged,
+        )
--- /dev/null
+++ b/benchmarks/control/plan.py
@@ -0,0 +1,29 @@
+"""What the control benchmark measures: list sizes, rates of change and losses."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+CHANGES_PER_DAY = 7200
+DAY_S = 86_400
+
+
+@dataclass(frozen=True, slots=True)
+class Plan:
+    """The list sizes and changes of a run."""
+
+    sizes: tuple[int, ...] = (13, 100, 400, 1000, 2000)  # endpoints in a list
+    rates: tuple[float, ...] = (0.0, CHANGES_PER_DAY / DAY_S, 1.0, 10.0)  # changes a second
+    seconds: float = 24.0  # at each rate
+    rounds: int = 2  # of all rates
+    losses: tuple[int, ...] = (74, 148, 295, 590, 1180)  # entries lost at once
+    repeats: int = 5  # of each loss and of each complete list
+    seed: int = 7
+
+
+@dataclass(frozen=True, slots=True)
+class ChangeRate:
+    """A list size and a rate, in changes a second, at which it is measured."""
+
+    list_size: int
+    per_s: float
--- a/benchmarks/data_path/__main__.py
+++ b/benchmarks/data_path/__main__.py
@@ -1,8 +1,8 @@
-"""The command that measures what a request costs through a real proxy, beside the same request made directly.
+"""Measure the cost of a request through a real proxy: `python -m benchmarks.data_path`.
 
-Run as `python -m benchmarks.data_path`. Proxies with lists of several sizes run side by side and are called
-one after the other, each slice of requests through one beside a slice of direct requests at the same rate. A
-direct request goes to one of a few backends on a connection that is kept alive.
+Proxies with lists of several sizes run side by side and get requests in turn: each slice of requests through
+a proxy is next to a slice of direct requests at the same rate. A direct request goes to one of a few backends
+on a connection that is kept alive.
 """
 
 from __future__ import annotations
@@ -12,7 +12,8 @@
 
 import click
 
-from benchmarks.data_path.measurement import DIRECT_BACKENDS, DataPathBench, Plan
+from benchmarks.data_path.measurement import DIRECT_BACKENDS, DataPathBench
+from benchmarks.data_path.plan import Plan
 from benchmarks.data_path.report import report
 from benchmarks.support.node_setup import node_setup, stop_garbage_collection
 from benchmarks.support.open_loop import run_with_exact_timers
@@ -58,7 +59,7 @@
 @click.option("--rounds", default=5, show_default=True, help="Of all slices.")
 @service_ms_option
 @sockets_option
-@click.option("--no-limit", is_flag=True, help="Don't look for the highest rate that is sustained.")
+@click.option("--no-limit", is_flag=True, help="Don't search the highest sustained rate.")
 @seed_option
 @quick_option
 @out_option("datapath.json")
--- /dev/null
+++ b/benchmarks/data_path/records.py
@@ -0,0 +1,135 @@
+"""The records of the data path benchmark: latencies, costs, and each round's own figures."""
+
+from __future__ import annotations
+
+import statistics
+from collections.abc import Mapping
+from dataclasses import dataclass
+
+import msgspec
+
+from benchmarks.data_path.measurement import Cell, DataPathBench
+from benchmarks.data_path.plan import SliceKind
+from benchmarks.support.open_loop import histogram
+from benchmarks.support.processes import resident_mib
+from benchmarks.support.records import Record
+from benchmarks.support.regression import standard_error
+
+PERCENTILES = (50.0, 99.0, 99.9)
+
+
+@dataclass(frozen=True, slots=True)
+class LatencyRecord:
+    """Latencies in microseconds by percentile: direct, through the proxy, and their difference.
+
+    `added_us` is of all requests together, `round_added_us` the median of the rounds' own differences:
+    seconds in which the machine stalls remain in the first and count as one round in the second.
+    """
+
+    kind: SliceKind
+    requests: int
+    direct_us: dict[float, float]
+    proxied_us: dict[float, float]
+    round_added_us: dict[float, float]
+    send_delay_p99_us: float
+
+    @property
+    def added_us(self) -> dict[float, float]:
+        """The difference of the two latencies at each percentile."""
+        return {percent: self.proxied_us[percent] - self.direct_us[percent] for percent in self.direct_us}
+
+    def row(self) -> dict[str, object]:
+        """Return the record under the names of the result file."""
+        row: dict[str, object] = {
+            "list": self.kind.list_size,
+            "rate_per_s": self.kind.rate,
+            "calls": self.requests,
+        }
+        columns = {
+            "direct": self.direct_us,
+            "node": self.proxied_us,
+            "added": self.added_us,
+            "round_added": self.round_added_us,
+        }
+        for name, by_percentile in columns.items():
+            row |= {f"{name}_p{percent:g}_us": figure for percent, figure in by_percentile.items()}
+        return row | {"late_sent_p99_us": self.send_delay_p99_us}
+
+
+def latency_records(cells: Mapping[SliceKind, Cell]) -> list[LatencyRecord]:
+    """Return the latencies of each kind of slice."""
+    return [_latency_record(kind, cell) for kind, cell in cells.items()]
+
+
+def _latency_record(kind: SliceKind, cell: Cell) -> LatencyRecord:
+    direct = histogram([latency_us for in_round in cell.direct_us for latency_us in in_round])
+    proxied = histogram([latency_us for in_round in cell.proxied_us for latency_us in in_round])
+    direct_rounds = [histogram(in_round) for in_round in cell.direct_us]
+    proxied_rounds = [histogram(in_round) for in_round in cell.proxied_us]
+    return LatencyRecord(
+        kind=kind,
+        requests=cell.requests,
+        direct_us={percent: direct.get_value_at_percentile(percent) for percent in PERCENTILES},
+        proxied_us={percent: proxied.get_value_at_percentile(percent) for percent in PERCENTILES},
+        round_added_us={
+            percent: statistics.median(
+                proxied_round.get_value_at_percentile(percent) - direct_round.get_value_at_percentile(percent)
+                for direct_round, proxied_round in zip(direct_rounds, proxied_rounds, strict=True)
+            )
+            for percent in PERCENTILES
+        },
+        send_delay_p99_us=histogram(cell.send_delays_us).get_value_at_percentile(99.0),
+    )
+
+
+class CostRecord(Record, frozen=True, kw_only=True):
+    """A node's use of resources; `cpu_us` is processor time a request, with the rounds' standard error."""
+
+    list_size: int = msgspec.field(name="list")
+    rate: float = msgspec.field(name="rate_per_s")
+    cpu_us: float
+    cpu_error_us: float
+    run_queue_us: float = msgspec.field(name="waited_us")
+    idle_cores: float = msgspec.field(name="idle_core")
+    idle_mib: float = msgspec.field(name="idle_mb")
+    end_mib: float = msgspec.field(name="end_mb")
+    opened_per_request: float = msgspec.field(name="opened_per_call")
+    success_fraction: float = msgspec.field(name="ok_share")
+    load_average: float = msgspec.field(name="load")
+
+
+def cost_records(cells: Mapping[SliceKind, Cell], bench: DataPathBench) -> list[CostRecord]:
+    """Return the costs of each kind of slice."""
+    return [
+        CostRecord(
+            list_size=kind.list_size,
+            rate=kind.rate,
+            cpu_us=statistics.mean(cell.cpu_us),
+            cpu_error_us=standard_error(cell.cpu_us),
+            run_queue_us=statistics.mean(cell.run_queue_us),
+            idle_cores=bench.idle_cores[kind.list_size],
+            idle_mib=bench.idle_mib[kind.list_size],
+            end_mib=resident_mib(bench.setup.proxies[kind.list_size].pid),
+            opened_per_request=sum(cell.opened) / cell.requests,
+            success_fraction=cell.succeeded / cell.requests,
+            load_average=statistics.mean(cell.load_average),
+        )
+        for kind, cell in cells.items()
+    ]
+
+
+class RoundsRecord(Record, frozen=True, kw_only=True):
+    """The figures of each round of a kind of slice."""
+
+    list_size: int = msgspec.field(name="list")
+    rate: float = msgspec.field(name="rate_per_s")
+    cpu_us: list[float]
+    opened: list[int]
+
+
+def rounds_records(cells: Mapping[SliceKind, Cell]) -> list[RoundsRecord]:
+    """Return the figures of each kind of slice by round."""
+    return [
+        RoundsRecord(list_size=kind.list_size, rate=kind.rate, cpu_us=cell.cpu_us, opened=cell.opened)
+        for kind, cell in cells.items()
+    ]
