--- a/tests/proxy/test_watch_races.py
+++ b/tests/proxy/test_watch_races.py
@@ -33,12 +33,10 @@
         super().__init__()
         self.polls: asyncio.Queue[tuple[str, asyncio.StreamWriter]] = asyncio.Queue()
 
-    async def _take(self, reader, writer):
-        await super()._take(reader, writer)
-        with contextlib.suppress(asyncio.IncompleteReadError, OSError):
-            while True:
-                message = await read_message(reader)
-                await self.polls.put((message.first[1].partition("?")[2], writer))
+    async def _serve(self, reader, writer):
+        while True:
+            message = await read_message(reader)
+            await self.polls.put((message.first[1].partition("?")[2], writer))
 
     async def next_poll(self) -> tuple[str, asyncio.StreamWriter]:
         async with asyncio.timeout(20):
@@ -48,7 +46,7 @@
 @contextlib.asynccontextmanager
 async def following_watch(monkeypatch, answer_grace_s=60.0, **more):
     """A proxy that follows this discovery, with a backoff that never ends."""
-    monkeypatch.setattr("loadbalancer.discovery.watch_client.ANSWER_GRACE_S", answer_grace_s)
+    monkeypatch.setattr("loadbalancer.discovery.watch_client.RESPONSE_GRACE_S", answer_grace_s)
     monkeypatch.setattr("loadbalancer.discovery.watch_client.FIRST_WAIT_MS", 50.0)
     monkeypatch.setattr("loadbalancer.discovery.watch_client.PUSH_BACKOFF_S", 3600.0)
     discovery = ManualDiscovery()
@@ -153,7 +151,7 @@
 
 def test_discovery_that_answers_without_waiting_is_not_polled_without_pause(monkeypatch):
     async def main():
-        monkeypatch.setattr("loadbalancer.discovery.watch_client.EMPTY_ANSWER_PAUSE_S", 3600.0)
+        monkeypatch.setattr("loadbalancer.discovery.watch_client.EMPTY_RESPONSE_PAUSE_S", 3600.0)
         discovery = ManualDiscovery()
         async with running_proxy(discovery=discovery, settings=PUSH) as proxy:
             for _ in range(2):  # the first one has a change
