--- a/benchmarks/call_profile/profiled_proxy.py
+++ b/benchmarks/call_profile/profiled_proxy.py
@@ -1,9 +1,10 @@
-"""A real proxy that samples itself, configured as the proxy is: `benchmarks.call_profile.profiled_proxy`.
+"""A real proxy that samples itself: `python -m benchmarks.call_profile.profiled_proxy`.
 
-SIGUSR1 starts taking a sample of the running function each few milliseconds of processor time; SIGUSR2 stops
-it and writes all counts so far, a `ProfileCounts`, to the file that SCALE_PROFILE names. A sample counts for
-the stage of the proxy's innermost function on the stack, so that what a library does on its behalf counts for
-it; where the proxy has none on the stack, for the stage of the innermost library function.
+Its configuration is that of the proxy. SIGUSR1 starts sampling of the running function, every few
+milliseconds of processor time; SIGUSR2 stops it and writes all counts so far, a `ProfileCounts`, to the file
+that SCALE_PROFILE names. A sample counts for the stage of the proxy's innermost function on the stack, so a
+library's work for a stage counts for that stage. If the stack has no function of the proxy, the sample counts
+for the stage of the innermost library function.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 UNKNOWN_STAGE = "anything else"
 PROGRAM_FOLDER = "loadbalancer/"
 
-# Stages by file and function; "" stands for a file's other functions.
+# Stages by file and function; "" is for a file's other functions.
 STAGES: dict[str, dict[str, str]] = {
     "loadbalancer/policy/policy.py": {
         "_on_request": "policy: admission",
@@ -170,14 +171,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Stage:
-    """What a function's samples count for."""
+    """The stage that a function's samples count for."""
 
     name: str
     in_program: bool  # whether the function is one of the proxy's own
 
 
 class Sampler:
-    """Counts samples by stage and by function; its methods are signal handlers."""
+    """Counts samples by stage and by function; its public methods are signal handlers."""
 
     def __init__(self, output: Path) -> None:
         self.stages: Counter[str] = Counter()
@@ -186,11 +187,11 @@
         self._stage_by_code: dict[CodeType, Stage] = {}
 
     def start(self, _signal: int, _frame: FrameType | None) -> None:
-        """Start taking samples."""
+        """Start sampling."""
         signal.setitimer(signal.ITIMER_PROF, SAMPLE_INTERVAL_S, SAMPLE_INTERVAL_S)
 
     def stop(self, _signal: int, _frame: FrameType | None) -> None:
-        """Stop taking samples, and write the counts so that a reader never sees a part of them."""
+        """Stop sampling, and write the counts atomically, so that a reader sees all of them or none."""
         signal.setitimer(signal.ITIMER_PROF, 0.0)
         incomplete = self._output.with_suffix(".part")
         incomplete.write_bytes(msgspec.json.encode(ProfileCounts(self.stages, self.functions)))
@@ -221,7 +222,7 @@
 
 
 def stage_of_function(file: str, qualified_name: str) -> Stage:
-    """Return a function's stage; a function inside another one counts as that one."""
+    """Return a function's stage; a nested function counts as its outermost function."""
     name = qualified_name.split(".<locals>")[0].rpartition(".")[2]
     for path, functions in STAGES.items():
         if file.endswith("/" + path):
@@ -230,7 +231,7 @@
 
 
 def run() -> int:
-    """Serve as the proxy does; return its exit code."""
+    """Run the proxy with a sampler; return its exit code."""
     sampler = Sampler(Path(os.environ[OUTPUT_VARIABLE]))
     signal.signal(signal.SIGPROF, sampler.sample)
     signal.signal(START_SIGNAL, sampler.start)
--- a/benchmarks/capacity/figures.py
+++ b/benchmarks/capacity/figures.py
@@ -10,7 +10,7 @@
 
 from benchmarks.capacity.result_files import ResultFiles
 
-# The users' plan for the next two years.
+# The operators' plan for the next two years.
 NODES = 17_000
 SERVICES = 1_300
 REGIONS = 11
@@ -21,10 +21,10 @@
 MEAN_SERVICE = 13  # servers
 LARGEST_SERVICE = 1_000  # servers
 ZONE_LOSS = round(NODES / ZONES)  # entries at once
-# Of a control machine, once one region is lost.
+# Of a control machine, after the loss of one region.
 WATCHES = round(NODES / (CONTROL_MACHINES * (REGIONS - 1) / REGIONS))
 
-# What the users allow.
+# The operators' budgets.
 ADDED_P99_BUDGET_US = 330
 LIST_SIZE_COST_BUDGET = 1.1  # times
 CONTROL_BUDGET_CORES = 0.027
@@ -63,11 +63,11 @@
 
     role: str
     quantity: str
-    value: float | None  # None: `reason` says what it lacks
+    value: float | None  # None: `reason` states why
     unit: str
-    budget: float | None  # None: there is none
-    mechanism: str  # with its file
-    run: str  # the result file, whose "command" gave the figure
+    budget: float | None  # None: no budget is set
+    mechanism: str  # that the figure depends on, with its file
+    run: str  # the result file that the figure comes from
     reason: str = "not measured"
 
     @property
@@ -93,12 +93,12 @@
 
 
 def _thousandth(value: float | None) -> float | None:
-    """Return seconds of milliseconds, or cores of milliseconds a second."""
+    """Convert milliseconds to seconds, or milliseconds a second to cores."""
     return _ratio(value, 1000.0)
 
 
 def data_path_figures(results: ResultFiles) -> list[CapacityFigure]:
-    """Return what a node's requests cost it."""
+    """Return the cost of requests to a node."""
     mean: dict[str, float | str] = {"list": MEAN_SERVICE, "rate_per_s": REQUESTS_PER_S}
     largest: dict[str, float | str] = {"list": LARGEST_SERVICE, "rate_per_s": REQUESTS_PER_S}
     added_us = results.figure(QUIET_DATA_PATH, "round_added_p99_us", mean)
@@ -118,7 +118,7 @@
 
 
 def control_figures(results: ResultFiles) -> list[CapacityFigure]:
-    """Return what following the largest list costs a node."""
+    """Return the cost of following the largest list to a node."""
     largest: dict[str, float | str] = {"list": LARGEST_SERVICE, "changes_per_s": CHANGES_PER_S}
     core_slope = f"core over servers at {CHANGES_PER_S:.4g} changes a second"
     cores = results.slope_at(CONTROL, core_slope, LARGEST_SERVICE)
@@ -138,7 +138,7 @@
 
 
 def discovery_server_figures(results: ResultFiles) -> list[CapacityFigure]:
-    """Return what the watches of one machine cost a discovery server."""
+    """Return the cost of one machine's watches to a discovery server."""
     cores = _thousandth(results.slope_at(ONE_LIST, "calm_directory_cpu_ms_per_s", WATCHES))
     fleet_cores = _thousandth(results.maximum(FLEET_CHAIN, "calm_zone_cpu_ms_per_s"))  # no line fits
     memory_mib = results.slope_at(ONE_LIST, "directory_rss_mib", WATCHES)
@@ -168,7 +168,7 @@
 
 
 def propagation_figures(results: ResultFiles) -> list[CapacityFigure]:
-    """Return how long a change takes from its writing until it is in force at the last node."""
+    """Return the time from a change's writing until it is in force at the last node."""
     change_s = _thousandth(results.maximum(FLEET_CHAIN, "calm_last_ms"))
     loss_s = _thousandth(results.maximum(FLEET_CHAIN, "burst_last_ms"))
     restart_s = _thousandth(results.maximum(FLEET_CHAIN, "restart_last_ms"))
@@ -199,7 +199,7 @@
 
 
 def model_figures(results: ResultFiles) -> list[CapacityFigure]:
-    """Return what simulated services and chains show."""
+    """Return the figures of simulated services and chains."""
     service, chain = f"service of {LARGEST_SERVICE:,}", "chain of 12"
     nodes: dict[str, float | str] = {"nodes": LARGEST_SERVICE}
     connections = _ratio(results.figure(MODEL, "held 15s", nodes), LARGEST_SERVICE)
--- a/benchmarks/capacity/result_files.py
+++ b/benchmarks/capacity/result_files.py
@@ -1,52 +1,74 @@
-"""Reading figures from the files of measured runs in `benchmarks/results/`."""
+"""Figures from the result files of measured runs in `benchmarks/results/`."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from pathlib import Path
-from typing import Any
 
-import orjson
+import msgspec
 
 from benchmarks.support.processes import ROOT
 from benchmarks.support.regression import Slope
 
+ROWS_TABLE = "rows"
 RESULTS_FOLDER = ROOT / "benchmarks" / "results"
 
 
+class ResultFile(msgspec.Struct):
+    """The parts of a result file that figures are read from."""
+
+    rows: list[dict[str, object]] = []
+    slopes: dict[str, Slope] = {}
+    about: dict[str, object] = {}
+
+    def table(self, name: str) -> list[dict[str, object]]:
+        """Return the rows of a table: the file's own rows, or a table under "about"."""
+        if name == ROWS_TABLE:
+            return self.rows
+        return msgspec.convert(self.about.get(name, []), list[dict[str, object]])
+
+
+NO_RESULT = ResultFile()
+
+
 class ResultFiles:
-    """The result files of a folder by their name without suffix; what no run has measured is None."""
+    """The result files of a folder, by name without suffix; a figure that no run has measured is None."""
 
     def __init__(self, folder: Path = RESULTS_FOLDER) -> None:
-        self._files: dict[str, Mapping[str, Any]] = {
-            path.stem: orjson.loads(path.read_bytes()) for path in sorted(folder.glob("*.json"))
+        self._files = {
+            path.stem: msgspec.json.decode(path.read_bytes(), type=ResultFile)
+            for path in sorted(folder.glob("*.json"))
         }
 
     def slope_at(self, run: str, name: str, size: float) -> float | None:
         """Return a slope's figure at a size."""
-        slope = self._files.get(run, {}).get("slopes", {}).get(name)
-        return None if slope is None else Slope(**slope).at(size)
+        slope = self._result(run).slopes.get(name)
+        return None if slope is None else slope.at(size)
 
     def maximum(self, run: str, key: str) -> float | None:
-        """Return the largest figure of a run's records, for figures that no line fits."""
-        records = self._files.get(run, {}).get("rows", ())
-        figures = [float(record[key]) for record in records if record.get(key) is not None]
-        return max(figures, default=None)
+        """Return the largest figure of a run's rows, for figures that no line fits."""
+        figures = [_number(row.get(key)) for row in self._result(run).rows]
+        return max((figure for figure in figures if figure is not None), default=None)
 
     def figure(
-        self, run: str, key: str, where: Mapping[str, float | str], table: str = "rows"
+        self, run: str, key: str, where: Mapping[str, float | str], table: str = ROWS_TABLE
     ) -> float | None:
-        """Return a figure of the first record that matches.
+        """Return a figure of the first row that matches.
 
         Args:
             run: The run's file.
             key: The figure's name.
-            where: The values that the record has.
-            table: The records' name in the file, at its top or under "about".
+            where: The values that the row has.
+            table: The name of the rows in the file.
         """
-        results = self._files.get(run, {})
-        for record in results.get(table) or results.get("about", {}).get(table, ()):
-            if all(record.get(name) == value for name, value in where.items()):
-                figure = record.get(key)
-                return None if figure is None else float(figure)
+        for row in self._result(run).table(table):
+            if all(row.get(name) == value for name, value in where.items()):
+                return _number(row.get(key))
         return None
+
+    def _result(self, run: str) -> ResultFile:
+        return self._files.get(run, NO_RESULT)
+
+
+def _number(value: object) -> float | None:
+    return float(value) if isinstance(value, int | float) else None
--- a/benchmarks/data_path/measurement.py
+++ b/benchmarks/data_path/measurement.py
@@ -17,8 +17,9 @@
 from benchmarks.data_path.plan import Plan, SliceKind
 from benchmarks.data_path.rate_limit import ProxiedSlice, RateLimit, find_rate_limit
 from benchmarks.support.node_setup import WARM_UP_S, NodeSetup
-from benchmarks.support.open_loop import MICROSECONDS_PER_S, Address
+from benchmarks.support.open_loop import MICROSECONDS_PER_S
 from benchmarks.support.processes import cpu_seconds, resident_mib, run_queue_seconds
+from loadbalancer.http.addresses import Address
 
 DIRECT_BACKENDS = 13  # that direct requests go to
 
--- a/benchmarks/fleet_model.py
+++ b/benchmarks/fleet_model.py
@@ -1,7 +1,8 @@
-"""The command that simulates backends in slow start: `python -m benchmarks.fleet_model`.
+"""Simulate backends in slow start: `python -m benchmarks.fleet_model`.
 
-It runs the policy itself in model time and counts what the backends get against what the settings allow, and
-prints the tables of docs/slow-start.md. `tests/benchmarks/test_slow_start.py` runs the short form.
+The command runs the policy itself in model time, compares the load of the backends with their budget by the
+settings, and prints the tables of docs/slow-start.md. `tests/benchmarks/test_slow_start.py` runs a short
+form.
 """
 
 from __future__ import annotations
@@ -36,7 +37,7 @@
 
 
 def table_line(name: str, nodes: int, runs: Sequence[RunMetrics]) -> str:
-    """Return one line of the table: windows over the budget in a thousand, and means over the runs."""
+    """Return one line of the table: windows over the budget per thousand, and means over the runs."""
     windows = sum(run.windows for run in runs)
     cells = [
         name,
@@ -56,19 +57,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ExcessRates:
-    """Windows over their budget in a thousand."""
+    """Windows over their budget, per thousand."""
 
     by_requests: float
     by_work: float
 
 
 def excess_by_chance(budget: float, fraction: float, windows: int = CHANCE_WINDOWS) -> ExcessRates:
-    """Return how often a Poisson stream goes over a budget.
+    """Return the rate at which a Poisson stream exceeds a budget.
 
     Args:
         budget: The budget, in requests of average work.
         fraction: The stream's mean as a fraction of the budget.
-        windows: How many windows are drawn.
+        windows: The number of windows to draw.
     """
     rng = Random(1)
     allowed = budget_with_tolerance(budget)
@@ -87,7 +88,7 @@
 
 
 def print_chance_table() -> None:
-    """Print what chance alone brings over budgets of several sizes."""
+    """Print the rates at which chance alone exceeds budgets of several sizes."""
     print(CHANCE_TABLE_HEAD)
     for budget, fraction in itertools.product(CHANCE_BUDGETS, CHANCE_FRACTIONS):
         excess = excess_by_chance(budget, fraction)
@@ -113,12 +114,16 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=6)
     parser.add_argument("--servers", type=int, default=20)
-    parser.add_argument("--only", default=",".join(SCENARIOS), help="scenarios, with commas between them")
+    parser.add_argument("--only", default=",".join(SCENARIOS), help="scenarios, separated by commas")
     parser.add_argument("--nodes", type=int, nargs="*", default=NODE_COUNTS)
-    parser.add_argument("--load", type=float, help="another load than the scenario's")
-    parser.add_argument("--cold", type=float, help="another fraction of backends in slow start")
-    parser.add_argument("--unpaced", action="store_true", help="with the slow start's pacing taken out")
-    parser.add_argument("--chance", action="store_true", help="what chance alone brings over the budget")
+    parser.add_argument("--load", type=float, help="a load in place of the scenario's")
+    parser.add_argument(
+        "--cold", type=float, help="a fraction of backends in slow start in place of the scenario's"
+    )
+    parser.add_argument("--unpaced", action="store_true", help="without the pacing of slow start")
+    parser.add_argument(
+        "--chance", action="store_true", help="print how often chance alone exceeds the budget"
+    )
     options = parser.parse_args()
     if options.chance:
         print_chance_table()
--- a/benchmarks/hollow/servers_under_test.py
+++ b/benchmarks/hollow/servers_under_test.py
@@ -19,6 +19,7 @@
 from benchmarks.support.health_check import responds_ok
 from benchmarks.support.list_server import LIST_PATH
 from benchmarks.support.processes import ChildProcess
+from loadbalancer.http.addresses import Address
 
 READY_TIMEOUT_S = 60.0  # from a server's start until a list is served
 READY_POLL_S = 0.02
@@ -245,7 +246,7 @@
     deadline = time.monotonic() + READY_TIMEOUT_S
     while time.monotonic() < deadline:
         with contextlib.suppress(OSError):
-            if await responds_ok(("127.0.0.1", port), LIST_PATH):
+            if await responds_ok(Address("127.0.0.1", port), LIST_PATH):
                 return
         await asyncio.sleep(READY_POLL_S)
     raise ListNotServedError(port)
--- a/benchmarks/longest_turn/__main__.py
+++ b/benchmarks/longest_turn/__main__.py
@@ -1,8 +1,8 @@
-"""The longest that a proxy's event loop runs without waiting: `python -m benchmarks.longest_turn`.
+"""Measure the longest turn of a proxy's event loop: `python -m benchmarks.longest_turn`.
 
-A proxy runs in this process, a thread makes the worst input that the rules allow, and every turn of the
-proxy's event loop is timed by the processor time of its thread. The operators count 20 s of one thread's real
-time as a crash; the last column is the fraction of a core at which the longest turn would take that.
+A proxy runs in this process, another thread sends it the worst input that the rules allow, and each turn of
+the proxy's event loop is timed by the processor time of its thread. The operators count 20 s of one thread's
+real time as a crash; the last column is the fraction of a core at which the longest turn would take 20 s.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
     flood_inputs,
     list_inputs,
 )
-from benchmarks.support.open_loop import Address
+from loadbalancer.http.addresses import Address
 from loadbalancer.proxy.config import Config, parse_config
 from loadbalancer.proxy.proxy import Proxy
 
 CRASH_S = 20.0
 SETTLE_S = 0.2  # before and after an input
-SOCKETS = 4096  # descriptors that the proxy may hold
+SOCKETS = 4096  # file descriptors that the proxy may hold
 SERVICE_CLASSES = [
     {"name": "read", "aimMs": 2000.0, "giveUpMs": 9000.0, "effect": "free"},
     {"name": "post", "aimMs": 2000.0, "giveUpMs": 9000.0, "effect": "single_shot"},
@@ -36,7 +36,7 @@
 
 
 class TimedEventLoop(asyncio.SelectorEventLoop):
-    """Records the processor time of each turn; waiting takes none."""
+    """Records the processor time of each turn; a wait for events costs none."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TurnTimes:
-    """Processor time of the event loop while it dealt with an input."""
+    """Processor time of the event loop while it processes an input."""
 
     longest_s: float
     total_s: float
@@ -58,7 +58,7 @@
 
 
 def proxy_config(discovery: Address, backend_port: int, endpoints: int) -> Config:
-    """Return a proxy's configuration with so many endpoints at one port in its cached list."""
+    """Return a proxy's configuration whose cached list has `endpoints` entries at one port."""
     configuration = {
         "name": "n0",
         "listen": "127.0.0.1:0",
@@ -76,7 +76,7 @@
 
 
 async def measure(loop: TimedEventLoop, worst_input: WorstInput, backend_port: int) -> TurnTimes:
-    """Run a proxy of this process while a thread makes an input for it."""
+    """Run a proxy in this process while a thread sends it an input."""
     with socket.create_server(("127.0.0.1", 0)) as discovery:
         config = proxy_config(discovery.getsockname()[:2], backend_port, worst_input.cached_endpoints)
         proxy = Proxy(config)
@@ -84,7 +84,7 @@
         await asyncio.sleep(SETTLE_S)
         loop.turns_s.clear()
         started_s = time.thread_time()
-        await asyncio.to_thread(worst_input.make, proxy.listener.address, discovery)
+        await asyncio.to_thread(worst_input.send, proxy.listener.address, discovery)
         await asyncio.sleep(SETTLE_S)
         times = TurnTimes(max(loop.turns_s), time.thread_time() - started_s, len(loop.turns_s))
         proxy.close()
@@ -96,7 +96,7 @@
     """Measure all inputs and print their table."""
     backend = BackendThread()
     backend.start()
-    print(f"{'worst input':52} {'turn, ms':>9} {'all, s':>7} {'turns':>7}  share for {CRASH_S:.0f} s")
+    print(f"{'worst input':52} {'turn, ms':>9} {'all, s':>7} {'turns':>7}  core for {CRASH_S:.0f} s")
     for worst_input in itertools.chain(list_inputs(backend.port), flood_inputs()):
         times = await measure(loop, worst_input, backend.port)
         print(
--- a/benchmarks/longest_turn/worst_inputs.py
+++ b/benchmarks/longest_turn/worst_inputs.py
@@ -1,6 +1,6 @@
-"""The worst input that the rules allow a proxy to get: endpoint lists, request floods, and their backends.
+"""The worst input that the rules allow for a proxy: endpoint lists, request floods, and their backends.
 
-Each input is made by a thread beside the event loop of the proxy.
+A thread other than the proxy's event loop sends each input.
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 import time
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
-from typing import Any
 
-from benchmarks.support.open_loop import Address
+from benchmarks.support.membership import EndpointEntry
 from loadbalancer.discovery.watch_client import MAX_ENDPOINT_LIST_BYTES
+from loadbalancer.http.addresses import Address
 from loadbalancer.http.limits import MAX_BODY_BYTES
 
 FLOOD_S = 3.0
-MIN_READ_S = 0.1  # of a flooding connection, even at the end of the flood
+MIN_READ_S = 0.1  # for which a flooding connection reads, even at the end of the flood
 PIPELINED_REQUESTS = 600
-OPEN_REQUESTS = 1000  # as a list is replaced
-REQUEST_ADMISSION_S = 2.0  # in which the proxy takes these requests
+OPEN_REQUESTS = 1000  # during the replacement of a list
+REQUEST_ADMISSION_S = 2.0  # for the proxy to admit these requests
 LISTEN_BACKLOG = 2048
 RECEIVE_BYTES = 65_536
 LARGE_PART_BYTES = 1 << 20
 SMALL_PART_BYTES = 1400  # about what a packet carries
-LIST_FILL = 0.98  # of the largest list that a proxy takes
+LIST_FILL = 0.98  # of the largest list that a proxy accepts
 LIST_GROWTH = 64  # endpoints
 LARGE_BODY_BYTES = 60_000_000
 CHUNKS = 10_000_000
@@ -37,12 +37,12 @@
 HEADER_VALUE_BYTES = 4_000_000
 FIRST_REPLACEMENT = 5000  # the number of the first endpoint of the list that replaces another
 
-# Makes an input at the proxy's address; the socket is where its watch connects to.
-InputMaker = Callable[[Address, socket.socket], None]
+# Sends an input to the proxy's address; the proxy's watch connects to the socket.
+InputSender = Callable[[Address, socket.socket], None]
 
 
 class EndpointListSizeError(ValueError):
-    """An endpoint list is larger than a proxy takes."""
+    """An endpoint list is larger than a proxy accepts."""
 
     def __init__(self, size: int) -> None:
         super().__init__(f"a list of {size} bytes is larger than {MAX_ENDPOINT_LIST_BYTES}")
@@ -55,11 +55,11 @@
 
     name: str
     cached_endpoints: int  # in the list that the proxy starts from
-    make: InputMaker
+    send: InputSender
 
 
-def endpoint_entries(count: int, port: int, first: int = 0) -> list[dict[str, Any]]:
-    """Return ready endpoints, numbered from `first` on, that are all the same loopback port."""
+def endpoint_entries(count: int, port: int, first: int = 0) -> list[EndpointEntry]:
+    """Return ready endpoints, numbered from `first` on, all at the same loopback port."""
     return [
         {
             "uid": f"s{number}",
@@ -75,11 +75,11 @@
     ]
 
 
-def list_response(revision: int, entries: list[dict[str, Any]]) -> bytes:
+def list_response(revision: int, entries: list[EndpointEntry]) -> bytes:
     """Return the response to a watch with a complete list.
 
     Raises:
-        EndpointListSizeError: A proxy would not take it.
+        EndpointListSizeError: The response is larger than a proxy accepts.
     """
     body = json.dumps({"rev": revision, "all": True, "targets": entries}, indent=4).encode()
     if len(body) > MAX_ENDPOINT_LIST_BYTES:
@@ -88,7 +88,7 @@
 
 
 def largest_list_size(port: int) -> int:
-    """Return about how many endpoints the largest list has that a proxy takes."""
+    """Return the approximate number of endpoints in the largest list that a proxy accepts."""
     bytes_per_endpoint = len(list_response(2, endpoint_entries(LIST_GROWTH, port))) / LIST_GROWTH
     size = 0
     while bytes_per_endpoint * (size + LIST_GROWTH) < LIST_FILL * MAX_ENDPOINT_LIST_BYTES:
@@ -97,7 +97,7 @@
 
 
 class BackendThread(threading.Thread):
-    """Answers every request with the largest body, in a thread of its own; requests to /hold never."""
+    """Responds to every request with the largest body, in a thread of its own; never to requests to /hold."""
 
     def __init__(self) -> None:
         super().__init__(daemon=True)
@@ -138,7 +138,7 @@
 
 
 def flood(address: Address, payload: Callable[[], bytes], connections: int) -> None:
-    """Send at full speed and read what comes for `FLOOD_S`, on new connections once old ones are closed."""
+    """Send at full speed for `FLOOD_S` and read the responses; closed connections are replaced."""
     deadline = time.monotonic() + FLOOD_S
 
     async def flood_connection() -> None:
@@ -158,7 +158,7 @@
 
 
 def respond_to_watch(response: bytes, part_bytes: int, discovery: socket.socket) -> None:
-    """Respond to the next watch in parts, and wait until it polls again: it has taken the list then."""
+    """Respond to the next watch in parts, and wait until it polls again, after it has applied the list."""
     connection, _ = discovery.accept()
     with connection, contextlib.suppress(OSError):
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -169,12 +169,12 @@
 
 
 def list_inputs(port: int) -> Iterator[WorstInput]:
-    """Return inputs from discovery; all endpoints are at this loopback port."""
+    """Yield inputs from discovery; all endpoints are at this loopback port."""
     size = largest_list_size(port)
     largest = list_response(2, endpoint_entries(size, port))
     replacement = list_response(2, endpoint_entries(1000, port, FIRST_REPLACEMENT))
 
-    def watch(part_bytes: int) -> InputMaker:
+    def watch(part_bytes: int) -> InputSender:
         return lambda _, discovery: respond_to_watch(largest, part_bytes, discovery)
 
     def replace_under_load(address: Address, discovery: socket.socket) -> None:
@@ -187,14 +187,14 @@
             connection.close()
 
     name = f"{len(largest) >> 20} MB list of {size} servers"
-    yield WorstInput(f"{name}, whole", 13, watch(len(largest)))
-    yield WorstInput(f"{name}, in pieces of 1,400 bytes", 13, watch(SMALL_PART_BYTES))
-    yield WorstInput(f"{name}, of all servers known", size, watch(LARGE_PART_BYTES))
+    yield WorstInput(f"{name}, at once", 13, watch(len(largest)))
+    yield WorstInput(f"{name}, in parts of 1,400 bytes", 13, watch(SMALL_PART_BYTES))
+    yield WorstInput(f"{name}, all of them in the cached list", size, watch(LARGE_PART_BYTES))
     yield WorstInput("list replacing 1,000 servers, 1,000 requests open", 1000, replace_under_load)
 
 
 def flood_inputs() -> Iterator[WorstInput]:
-    """Return inputs from callers."""
+    """Yield inputs from clients."""
     numbers = itertools.count()
     large = b"POST /post/1 HTTP/1.1\r\nReq-Id: b\r\nContent-Length: %d\r\n\r\n" % LARGE_BODY_BYTES
     large += bytes(LARGE_BODY_BYTES)
@@ -203,7 +203,7 @@
     headers = b"GET /read/1 HTTP/1.1\r\n" + b"X-A: b\r\n" * HEADER_LINES
     header = b"GET /read/1 HTTP/1.1\r\nX-A: " + b"y" * HEADER_VALUE_BYTES
 
-    def callers(payload: Callable[[], bytes], connections: int) -> InputMaker:
+    def clients(payload: Callable[[], bytes], connections: int) -> InputSender:
         return lambda address, _: flood(address, payload, connections)
 
     def post() -> bytes:
@@ -215,10 +215,10 @@
     def pipelined_bad() -> bytes:
         return get_request("b", "none") * PIPELINED_REQUESTS
 
-    yield WorstInput("400 bodies of 64 KiB at once, answers as long", 200, callers(post, 400))
-    yield WorstInput("60 MB bodies from 8 clients at full speed", 13, callers(lambda: large, 8))
-    yield WorstInput("60 MB chunked from 8 clients at full speed", 13, callers(lambda: chunked, 8))
-    yield WorstInput("600 pipelined requests from 50 clients", 200, callers(pipelined, 50))
-    yield WorstInput("600 pipelined bad requests from 50 clients", 13, callers(pipelined_bad, 50))
-    yield WorstInput("endless heads from 50 clients", 13, callers(lambda: headers, 50))
-    yield WorstInput("one endless header from 50 clients", 13, callers(lambda: header, 50))
+    yield WorstInput("400 bodies of 64 KiB at once, responses as long", 200, clients(post, 400))
+    yield WorstInput("60 MB bodies from 8 clients at full speed", 13, clients(lambda: large, 8))
+    yield WorstInput("60 MB chunked from 8 clients at full speed", 13, clients(lambda: chunked, 8))
+    yield WorstInput("600 pipelined requests from 50 clients", 200, clients(pipelined, 50))
+    yield WorstInput("600 pipelined bad requests from 50 clients", 13, clients(pipelined_bad, 50))
+    yield WorstInput("endless heads from 50 clients", 13, clients(lambda: headers, 50))
+    yield WorstInput("one endless header from 50 clients", 13, clients(lambda: header, 50))
--- a/benchmarks/models/fleet_metrics.py
+++ b/benchmarks/models/fleet_metrics.py
@@ -1,7 +1,7 @@
 """Metrics of a simulated run: the load of backends in slow start against their budget, and the service.
 
-A warming backend falls after an overload window with more than the overload factor times its present
-capacity. So each such window, one ending every `WINDOW_INTERVAL_MS`, has a budget.
+A warming backend fails after an overload window with more than the overload factor times its current
+capacity. So each such window, of which one ends every `WINDOW_INTERVAL_MS`, has a budget.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
     WINDOW_INTERVAL_MS,
 )
 
-LAST_REQUESTS_MS = 2500.0  # before the end: requests that may still be under way are not counted
-MIN_NOTIFIED_FRACTION = 2.0 / 3.0  # of a window's work, from which the nodes could keep the budget
+LAST_REQUESTS_MS = 2500.0  # before the end: later requests may be unfinished, and are not counted
+MIN_NOTIFIED_FRACTION = 2.0 / 3.0  # of a window's work: below it the nodes can't keep the budget
 
 
 def budget_with_tolerance(budget: float) -> float:
@@ -36,7 +36,7 @@
     requests: int
     work: float  # of these requests, in requests of average work
     budget: float  # in requests of average work
-    notified_fraction: float  # of the work: from nodes that knew of the backend's start
+    notified_fraction: float  # of the work: from nodes that had been notified of the backend's start
 
     @property
     def budget_applies(self) -> bool:
@@ -46,13 +46,13 @@
 
 @dataclass
 class RunMetrics:
-    """What a run counted, over all nodes."""
+    """The counts of a run, over all nodes."""
 
     windows: int = 0
-    over_by_requests: int = 0  # windows with more requests than allowed, each taken as average work
+    over_by_requests: int = 0  # windows with more requests than allowed, each counted as average work
     over_by_work: int = 0  # windows with more work than allowed
-    over_before_notified: int = 0  # windows as full, mostly from nodes that had not been notified
-    peak_fill: float = 0.0  # the most requests in a window, as a fraction of what is allowed
+    over_before_notified: int = 0  # such windows, mostly from nodes that had not been notified
+    peak_fill: float = 0.0  # the maximum number of requests in a window, as a fraction of the allowed
     clients: int = 0
     served_fraction: float = 0.0  # of the clients, within their latency objective
     rejected_fraction: float = 0.0  # of the clients, whose last attempt was rejected
@@ -71,7 +71,7 @@
             self.over_before_notified += not window.budget_applies
 
     def add_service(self, clients: Sequence[SimulatedClient]) -> None:
-        """Add what clients got that have no request under way."""
+        """Add the service of clients whose requests have all finished."""
         rejected = sum(
             client.served_ms == math.inf and client.last_outcome is FinalOutcome.REJECTED
             for client in clients
@@ -82,14 +82,14 @@
 
 
 def budget_windows(backend: SimulatedBackend, end_ms: float) -> Iterator[BudgetWindow]:
-    """Return each overload window of a backend in slow start, up to a time."""
+    """Yield each overload window of a backend in slow start, up to `end_ms`."""
     arrivals = backend.arrivals
     times_ms = [arrival.at_ms for arrival in arrivals]
     work_before = [0.0, *itertools.accumulate(arrival.work for arrival in arrivals)]
     notified_before = [
         0.0, *itertools.accumulate(arrival.work * arrival.sender_notified for arrival in arrivals)
     ]  # fmt: skip
-    # Work that comes in the first moments can spend the whole budget, so the first window ends early.
+    # Work that arrives first can use up the budget, so the first window ends after one interval.
     window_end_ms = (backend.started_ms or 0.0) + WINDOW_INTERVAL_MS
     while window_end_ms < end_ms:
         first = bisect_right(times_ms, window_end_ms - OVERLOAD_WINDOW_MS)
@@ -121,7 +121,7 @@
     Args:
         warming: The backends in slow start.
         clients: All clients.
-        counted_attempts: The nodes' attempts for clients that count.
+        counted_attempts: The nodes' attempts for counted clients.
         end_ms: The end of the run.
     """
     metrics = RunMetrics()
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -1,7 +1,7 @@
-"""A proxy's start in processor time, part by part: `python -m benchmarks.start [other checkout ...]`.
+"""Measure the processor time of a proxy's start, by part: `python -m benchmarks.start [other checkout ...]`.
 
-A start on the operators' bench lasts its processor time divided by the node's share of a core, so the last
-column is the fraction under which one in ten would not be ready in 10 s. Other checkouts are started in turn.
+A start on the operators' bench lasts its processor time divided by the node's fraction of a core, so the last
+column is the fraction below which one start in ten is not ready within 10 s. Checkouts are measured in turn.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 RUNS = 25
 READY_S = 10.0
 HIGH_QUANTILE = 0.9
-PROCESS_CPU_CLOCK = 2  # the kind of a process's clock that counts its processor time; see clock_getcpuclockid
-SERVING_LOG_TEXTS = ("proxy serving", "serves on")  # here, and in checkouts from before these names
-DISCOVERY_ADDRESS = "127.0.0.1:1"  # where nothing listens
+PROCESS_CPU_CLOCK = 2  # the clock of a process's processor time; see clock_getcpuclockid
+SERVING_LOG_TEXTS = ("proxy serving", "serves on")  # of this checkout, and of earlier ones
+DISCOVERY_ADDRESS = "127.0.0.1:1"  # at which nothing listens
 ADDRESSES_PER_SUBNET = 250
 
 
 class StartFailedError(ChildProcessError):
-    """A proxy has ended before it served."""
+    """A proxy ended before it served."""
 
     def __init__(self, exit_code: int) -> None:
         super().__init__(f"the proxy ended with exit code {exit_code} before it served")
@@ -43,13 +43,13 @@
     name: str
     arguments: tuple[str, ...]  # of the interpreter
     cached_endpoints: int = 13
-    until_serving: bool = False  # measured until it serves; else until it ends
+    until_serving: bool = False  # whether it is measured until it serves; else until it ends
 
     def cpu_seconds(self, checkout: Path, configuration: Path) -> float:
         """Run the process in a checkout and return its processor time.
 
         Raises:
-            StartFailedError: It was to serve, and has ended.
+            StartFailedError: The process should serve, and ended before.
         """
         with subprocess.Popen(
             [sys.executable, *self.arguments],
@@ -78,7 +78,7 @@
 
 @dataclass(slots=True)
 class StartTimes:
-    """What a measurement gave in a checkout."""
+    """The processor times of a measurement in a checkout."""
 
     measurement: Measurement
     checkout: Path
@@ -105,7 +105,7 @@
 
 
 def proxy_configuration(endpoints: int) -> bytes:
-    """Return a configuration with a cached list, by which the proxy is ready while discovery is down."""
+    """Return a configuration with a cached list, with which the proxy is ready while discovery is down."""
     targets = [
         {
             "uid": f"s{number}",
@@ -128,7 +128,7 @@
 
 
 def measure(checkouts: Sequence[Path], runs: int = RUNS) -> list[StartTimes]:
-    """Run all measurements in all checkouts in turn: whatever else the machine does falls on all alike."""
+    """Run all measurements in all checkouts in turn, so that other load on the machine affects all alike."""
     results = [StartTimes(measurement, checkout) for measurement in MEASUREMENTS for checkout in checkouts]
     with tempfile.TemporaryDirectory() as folder:
         configurations = {
@@ -147,7 +147,7 @@
 def main() -> None:
     """Measure this checkout and those of the command line, and print the table."""
     results = measure([ROOT, *(Path(name).resolve() for name in sys.argv[1:])])
-    print(f"{'processor time, ms':30} {'least':>7} {'median':>7} {'9 in 10':>7}  share for {READY_S:.0f} s")
+    print(f"{'processor time, ms':30} {'minimum':>7} {'median':>7} {'p90':>7}  core for {READY_S:.0f} s")
     for times in results:
         print(times.line())
 
--- a/benchmarks/support/health_check.py
+++ b/benchmarks/support/health_check.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from benchmarks.support.open_loop import Address
+from loadbalancer.http.addresses import Address
 
 
 async def responds_ok(address: Address, path: str) -> bool:
--- a/benchmarks/support/node_setup.py
+++ b/benchmarks/support/node_setup.py
@@ -10,8 +10,9 @@
 
 from benchmarks.support.backends import BackendsProcess, StartBackends
 from benchmarks.support.membership import Membership, make_entries
-from benchmarks.support.open_loop import Address, OpenLoopClient
+from benchmarks.support.open_loop import OpenLoopClient
 from benchmarks.support.proxy_process import DEPLOYED_SOCKETS, PROXY_MODULE, ProxyProcess, proxy_configuration
+from loadbalancer.http.addresses import Address, parse_address
 
 DEFAULT_LIST_SIZES = (13, 100, 400, 1000)
 ORDINARY_RATE = 170.0  # requests a second: a node's ordinary load, at which list sizes are compared
@@ -57,8 +58,7 @@
 
     def backend_addresses(self, count: int) -> list[Address]:
         """Return the addresses of the first backends."""
-        parts = (endpoint.rpartition(":") for endpoint in self.backends.endpoints[:count])
-        return [(host, int(port)) for host, _, port in parts]
+        return [parse_address(endpoint) for endpoint in self.backends.endpoints[:count]]
 
     async def close(self) -> None:
         """End the client's connections, the proxies and the backends."""
--- a/benchmarks/support/open_loop.py
+++ b/benchmarks/support/open_loop.py
@@ -19,8 +19,7 @@
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
 from benchmarks.support.transports import require_stream_transport
-
-Address = tuple[str, int]  # host and port, as asyncio's functions take and return them
+from loadbalancer.http.addresses import Address
 
 MAX_CONNECTIONS = 256  # open at once; further requests wait for one
 DRAIN_TIMEOUT_S = 4.5  # from the last request's due time, for which the client waits for responses
--- a/benchmarks/support/proxy_process.py
+++ b/benchmarks/support/proxy_process.py
@@ -13,8 +13,8 @@
 
 from benchmarks.support.health_check import responds_ok
 from benchmarks.support.membership import EndpointListMessage
-from benchmarks.support.open_loop import Address
 from benchmarks.support.processes import ROOT, terminate
+from loadbalancer.http.addresses import Address, parse_address
 
 START_TIMEOUT_S = 30.0  # from a process's start until it is ready, on a busy machine
 READINESS_PATH = "/up"
@@ -81,7 +81,7 @@
 
     def __init__(self, process: asyncio.subprocess.Process) -> None:
         self.pid = process.pid
-        self.address: Address = ("", 0)  # set once the proxy listens
+        self.address = Address("", 0)  # set once the proxy listens
         self.log: deque[str] = deque(maxlen=MAX_LOG_LINES)
         self._process = process
         self._listening = asyncio.Event()
@@ -149,8 +149,7 @@
             text = line.decode("utf-8", "replace").rstrip()
             self.log.append(text)
             if LISTENING_LOG_TEXT in text:
-                host, _, port = text.rpartition("=")[2].rpartition(":")
-                self.address = host, int(port)
+                self.address = parse_address(text.rpartition("=")[2])
                 self._listening.set()
 
 
