--- a/benchmarks/capacity/figures.py
+++ b/benchmarks/capacity/figures.py
@@ -106,9 +106,9 @@
     cost_ratio = _ratio(results.figure(DATA_PATH, "cpu_us", largest), cost_us)
     cores = None if cost_us is None else cost_us * REQUESTS_PER_S / 1e6
     added_name = f"added at p99, {REQUESTS_PER_S:g}/s, {MEAN_SERVICE} servers"
-    cost_name = f"processor time a call, {MEAN_SERVICE} servers"
+    cost_name = f"processor time a request, {MEAN_SERVICE} servers"
     ratio_name = f"{LARGEST_SERVICE} servers to {MEAN_SERVICE}"
-    cores_name = f"data path, {REQUESTS_PER_S:g} calls/s"
+    cores_name = f"data path, {REQUESTS_PER_S:g} requests/s"
     return [
         CapacityFigure("node", added_name, added_us, "µs", ADDED_P99_BUDGET_US, EVENT_LOOP, QUIET_DATA_PATH),
         CapacityFigure("node", cost_name, cost_us, "µs", None, EVENT_LOOP, DATA_PATH),
@@ -149,9 +149,9 @@
     restart_ms = results.slope_at(ONE_LIST, "restart_last_ms", WATCHES)
     one = f"{WATCHES} watches, one list"
     fleet = f"all {SERVICES} lists"
-    loss_name = f"a zone's loss told to {LARGEST_SERVICE} watches"
+    loss_name = f"a zone's loss delivered to {LARGEST_SERVICE} watches"
     budget_cores, budget_ms = DISCOVERY_SERVER_BUDGET_CORES, PROPAGATION_BUDGET_MS
-    figure = partial(CapacityFigure, "directory")
+    figure = partial(CapacityFigure, "discovery server")
     fleet_name = f"{fleet}, up to 4000 watches, worst"
     return [
         figure(one, cores, "cores", budget_cores, WATCH_REGISTRY, ONE_LIST),
@@ -162,7 +162,12 @@
         figure(f"a change to {LARGEST_SERVICE} watches", change_ms, "ms", None, WATCH_REGISTRY, ONE_LIST),
         figure(loss_name, loss_ms, "ms", budget_ms, WATCH_REGISTRY, ONE_LIST),
         figure(
-            f"restart, until all {WATCHES} have it", restart_ms, "ms", budget_ms, SNAPSHOT_STORE, ONE_LIST
+            f"restart, until all {WATCHES} watches have the list",
+            restart_ms,
+            "ms",
+            budget_ms,
+            SNAPSHOT_STORE,
+            ONE_LIST,
         ),
     ]
 
@@ -192,7 +197,7 @@
     return [
         figure(quantity="a change to in force, worst", value=change_s),
         figure(quantity="a zone's loss to in force, worst", value=loss_s),
-        figure(quantity="the zone's directory restarts, worst", value=restart_s),
+        figure(quantity="the zone's discovery server restarts, worst", value=restart_s),
         missing("registry", "where changes are written"),
         missing("settings", "followed in a running node"),
     ]
@@ -214,17 +219,19 @@
     }
     attempts = results.figure(MODEL, "sent/tier", fault, "chains")
     attempts_at_fault = results.figure(MODEL, "there", fault, "chains")
-    connections_name = f"connections held a server, {LARGEST_SERVICE} nodes"
+    connections_name = f"connections open at a server, {LARGEST_SERVICE} nodes"
     return [
         CapacityFigure(service, connections_name, connections, "", None, SUBSETS, MODEL),
-        CapacityFigure(service, "connections opened a call", opened, "", None, CONNECTION_POOL, MODEL),
-        CapacityFigure(service, "worst server's load over the mean", skew, "times", None, SUBSETS, MODEL),
-        CapacityFigure(service, "share served at half the load", served, "", None, ADMISSION, MODEL),
+        CapacityFigure(service, "connections opened a request", opened, "", None, CONNECTION_POOL, MODEL),
         CapacityFigure(
-            chain, "attempts, all tiers, a tenth refused", attempts, "times", None, RETRY_BUDGET, MODEL
+            service, "largest load of a server over the mean", skew, "times", None, SUBSETS, MODEL
         ),
+        CapacityFigure(service, "fraction served at half the load", served, "", None, ADMISSION, MODEL),
         CapacityFigure(
-            chain, "attempts at the tier that refuses", attempts_at_fault, "times", None, RETRY_BUDGET, MODEL
+            chain, "attempts, all tiers, a tenth rejected", attempts, "times", None, RETRY_BUDGET, MODEL
+        ),
+        CapacityFigure(
+            chain, "attempts at the tier that rejects", attempts_at_fault, "times", None, RETRY_BUDGET, MODEL
         ),
     ]
 
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -11,7 +11,7 @@
 PAGE = ROOT / "docs" / "CAPACITY.md"
 TABLE_BEGIN = "<!-- worked out by python -m benchmarks.capacity -->"
 TABLE_END = "<!-- end -->"
-TABLE_HEAD = "| role | what | figure | budget | verdict | carried by | run |\n| --- |" + " --- |" * 6
+TABLE_HEAD = "| role | quantity | figure | budget | verdict | mechanism | run |\n| --- |" + " --- |" * 6
 
 
 class PageMarkerError(ValueError):
--- a/benchmarks/control/following_node.py
+++ b/benchmarks/control/following_node.py
@@ -79,7 +79,7 @@
             self._all_in_force.set()
 
     async def run_churn(self, per_s: float, seconds: float) -> None:
-        """Make `per_s` single changes a second, evenly spaced, for `seconds`."""
+        """Write `per_s` single changes a second, evenly spaced, for `seconds`."""
         loop = asyncio.get_running_loop()
         started, count = loop.time(), round(per_s * seconds)
         for index in range(count):
--- a/benchmarks/control/measurement.py
+++ b/benchmarks/control/measurement.py
@@ -34,7 +34,7 @@
 
 
 class ChangeCostRecord(Record, frozen=True, kw_only=True):
-    """The cost of a change that comes at once, over several repetitions."""
+    """The cost of one change of many entries, over several repetitions."""
 
     cpu_ms: float
     cpu_error_ms: float
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class ChangeCost:
-    """The cost of changes that come at once to a proxy, over several repetitions."""
+    """The measurements of one change of many entries, over several repetitions."""
 
     cpu_ms: list[float] = field(default_factory=list)  # of each repetition: processor time less idle use
     bytes_exchanged: list[int] = field(default_factory=list)  # in each repetition
@@ -97,7 +97,7 @@
     restore: bool = False,
     compact: bool = False,
 ) -> ChangeCost:
-    """Measure changes that come at once.
+    """Measure changes of many entries at once.
 
     Args:
         node: The node that follows them.
--- a/benchmarks/models/chain_scenario.py
+++ b/benchmarks/models/chain_scenario.py
@@ -1,4 +1,4 @@
-"""What is simulated in a chain of tiers: its depth, the fault of one tier, and the scenario of each tier."""
+"""The scenario of a simulated chain: its depth, the fault of one tier, and the scenario of each tier."""
 
 from __future__ import annotations
 
--- a/benchmarks/models/pooled_fleet.py
+++ b/benchmarks/models/pooled_fleet.py
@@ -92,7 +92,7 @@
         """Prepare a run.
 
         Args:
-            scenario: What is simulated.
+            scenario: The run's scenario.
             seed: Of all random draws.
             backend_idle_timeouts_s: When the backends close an idle connection; counted side by side.
         """
--- a/benchmarks/support/membership.py
+++ b/benchmarks/support/membership.py
@@ -18,7 +18,7 @@
 MAX_LOGGED_CHANGES = 10_000  # changed entries, for watches that lag behind
 READY = "Ready"
 TERMINATING = "Terminating"
-REMOVED = "Gone"  # the state that takes an entry out of the list
+REMOVED = "Gone"  # the state that removes an entry from the list
 
 
 class EndpointEntry(TypedDict):
--- a/benchmarks/support/open_loop.py
+++ b/benchmarks/support/open_loop.py
@@ -27,7 +27,7 @@
 MICROSECONDS_PER_S = 1e6
 MAX_RECORDED_US = 60_000_000
 SIGNIFICANT_DIGITS = 3  # of the histograms
-NO_RESPONSE = 0  # the status that stands for a request without a response
+NO_RESPONSE = 0  # the status of a request without a response
 
 REQUEST_MIX = {"read": 0.7, "post": 0.2, "move": 0.1}  # fraction of requests by service class
 REQUEST_BODY = b"y" * 212
