--- a/benchmarks/capacity/figures.py
+++ b/benchmarks/capacity/figures.py
@@ -10,7 +10,7 @@
 
 from benchmarks.capacity.result_files import ResultFiles
 
-# The users' plan for the next two years.
+# The operators' plan for the next two years.
 NODES = 17_000
 SERVICES = 1_300
 REGIONS = 11
@@ -21,10 +21,10 @@
 MEAN_SERVICE = 13  # servers
 LARGEST_SERVICE = 1_000  # servers
 ZONE_LOSS = round(NODES / ZONES)  # entries at once
-# Of a control machine, once one region is lost.
+# Of a control machine, after the loss of one region.
 WATCHES = round(NODES / (CONTROL_MACHINES * (REGIONS - 1) / REGIONS))
 
-# What the users allow.
+# The operators' budgets.
 ADDED_P99_BUDGET_US = 330
 LIST_SIZE_COST_BUDGET = 1.1  # times
 CONTROL_BUDGET_CORES = 0.027
@@ -63,11 +63,11 @@
 
     role: str
     quantity: str
-    value: float | None  # None: `reason` says what it lacks
+    value: float | None  # None: `reason` states why
     unit: str
-    budget: float | None  # None: there is none
-    mechanism: str  # with its file
-    run: str  # the result file, whose "command" gave the figure
+    budget: float | None  # None: no budget is set
+    mechanism: str  # that the figure depends on, with its file
+    run: str  # the result file that the figure comes from
     reason: str = "not measured"
 
     @property
@@ -93,12 +93,12 @@
 
 
 def _thousandth(value: float | None) -> float | None:
-    """Return seconds of milliseconds, or cores of milliseconds a second."""
+    """Convert milliseconds to seconds, or milliseconds a second to cores."""
     return _ratio(value, 1000.0)
 
 
 def data_path_figures(results: ResultFiles) -> list[CapacityFigure]:
-    """Return what a node's requests cost it."""
+    """Return the cost of requests to a node."""
     mean: dict[str, float | str] = {"list": MEAN_SERVICE, "rate_per_s": REQUESTS_PER_S}
     largest: dict[str, float | str] = {"list": LARGEST_SERVICE, "rate_per_s": REQUESTS_PER_S}
     added_us = results.figure(QUIET_DATA_PATH, "round_added_p99_us", mean)
@@ -106,9 +106,9 @@
     cost_ratio = _ratio(results.figure(DATA_PATH, "cpu_us", largest), cost_us)
     cores = None if cost_us is None else cost_us * REQUESTS_PER_S / 1e6
     added_name = f"added at p99, {REQUESTS_PER_S:g}/s, {MEAN_SERVICE} servers"
-    cost_name = f"processor time a call, {MEAN_SERVICE} servers"
+    cost_name = f"processor time a request, {MEAN_SERVICE} servers"
     ratio_name = f"{LARGEST_SERVICE} servers to {MEAN_SERVICE}"
-    cores_name = f"data path, {REQUESTS_PER_S:g} calls/s"
+    cores_name = f"data path, {REQUESTS_PER_S:g} requests/s"
     return [
         CapacityFigure("node", added_name, added_us, "µs", ADDED_P99_BUDGET_US, EVENT_LOOP, QUIET_DATA_PATH),
         CapacityFigure("node", cost_name, cost_us, "µs", None, EVENT_LOOP, DATA_PATH),
@@ -118,7 +118,7 @@
 
 
 def control_figures(results: ResultFiles) -> list[CapacityFigure]:
-    """Return what following the largest list costs a node."""
+    """Return the cost of following the largest list to a node."""
     largest: dict[str, float | str] = {"list": LARGEST_SERVICE, "changes_per_s": CHANGES_PER_S}
     core_slope = f"core over servers at {CHANGES_PER_S:.4g} changes a second"
     cores = results.slope_at(CONTROL, core_slope, LARGEST_SERVICE)
@@ -138,7 +138,7 @@
 
 
 def discovery_server_figures(results: ResultFiles) -> list[CapacityFigure]:
-    """Return what the watches of one machine cost a discovery server."""
+    """Return the cost of one machine's watches to a discovery server."""
     cores = _thousandth(results.slope_at(ONE_LIST, "calm_directory_cpu_ms_per_s", WATCHES))
     fleet_cores = _thousandth(results.maximum(FLEET_CHAIN, "calm_zone_cpu_ms_per_s"))  # no line fits
     memory_mib = results.slope_at(ONE_LIST, "directory_rss_mib", WATCHES)
@@ -149,9 +149,9 @@
     restart_ms = results.slope_at(ONE_LIST, "restart_last_ms", WATCHES)
     one = f"{WATCHES} watches, one list"
     fleet = f"all {SERVICES} lists"
-    loss_name = f"a zone's loss told to {LARGEST_SERVICE} watches"
+    loss_name = f"a zone's loss delivered to {LARGEST_SERVICE} watches"
     budget_cores, budget_ms = DISCOVERY_SERVER_BUDGET_CORES, PROPAGATION_BUDGET_MS
-    figure = partial(CapacityFigure, "directory")
+    figure = partial(CapacityFigure, "discovery server")
     fleet_name = f"{fleet}, up to 4000 watches, worst"
     return [
         figure(one, cores, "cores", budget_cores, WATCH_REGISTRY, ONE_LIST),
@@ -162,13 +162,18 @@
         figure(f"a change to {LARGEST_SERVICE} watches", change_ms, "ms", None, WATCH_REGISTRY, ONE_LIST),
         figure(loss_name, loss_ms, "ms", budget_ms, WATCH_REGISTRY, ONE_LIST),
         figure(
-            f"restart, until all {WATCHES} have it", restart_ms, "ms", budget_ms, SNAPSHOT_STORE, ONE_LIST
+            f"restart, until all {WATCHES} watches have the list",
+            restart_ms,
+            "ms",
+            budget_ms,
+            SNAPSHOT_STORE,
+            ONE_LIST,
         ),
     ]
 
 
 def propagation_figures(results: ResultFiles) -> list[CapacityFigure]:
-    """Return how long a change takes from its writing until it is in force at the last node."""
+    """Return the time from a change's writing until it is in force at the last node."""
     change_s = _thousandth(results.maximum(FLEET_CHAIN, "calm_last_ms"))
     loss_s = _thousandth(results.maximum(FLEET_CHAIN, "burst_last_ms"))
     restart_s = _thousandth(results.maximum(FLEET_CHAIN, "restart_last_ms"))
@@ -192,14 +197,14 @@
     return [
         figure(quantity="a change to in force, worst", value=change_s),
         figure(quantity="a zone's loss to in force, worst", value=loss_s),
-        figure(quantity="the zone's directory restarts, worst", value=restart_s),
+        figure(quantity="the zone's discovery server restarts, worst", value=restart_s),
         missing("registry", "where changes are written"),
         missing("settings", "followed in a running node"),
     ]
 
 
 def model_figures(results: ResultFiles) -> list[CapacityFigure]:
-    """Return what simulated services and chains show."""
+    """Return the figures of simulated services and chains."""
     service, chain = f"service of {LARGEST_SERVICE:,}", "chain of 12"
     nodes: dict[str, float | str] = {"nodes": LARGEST_SERVICE}
     connections = _ratio(results.figure(MODEL, "held 15s", nodes), LARGEST_SERVICE)
@@ -214,17 +219,19 @@
     }
     attempts = results.figure(MODEL, "sent/tier", fault, "chains")
     attempts_at_fault = results.figure(MODEL, "there", fault, "chains")
-    connections_name = f"connections held a server, {LARGEST_SERVICE} nodes"
+    connections_name = f"connections open at a server, {LARGEST_SERVICE} nodes"
     return [
         CapacityFigure(service, connections_name, connections, "", None, SUBSETS, MODEL),
-        CapacityFigure(service, "connections opened a call", opened, "", None, CONNECTION_POOL, MODEL),
-        CapacityFigure(service, "worst server's load over the mean", skew, "times", None, SUBSETS, MODEL),
-        CapacityFigure(service, "share served at half the load", served, "", None, ADMISSION, MODEL),
+        CapacityFigure(service, "connections opened a request", opened, "", None, CONNECTION_POOL, MODEL),
         CapacityFigure(
-            chain, "attempts, all tiers, a tenth refused", attempts, "times", None, RETRY_BUDGET, MODEL
+            service, "largest load of a server over the mean", skew, "times", None, SUBSETS, MODEL
         ),
+        CapacityFigure(service, "fraction served at half the load", served, "", None, ADMISSION, MODEL),
         CapacityFigure(
-            chain, "attempts at the tier that refuses", attempts_at_fault, "times", None, RETRY_BUDGET, MODEL
+            chain, "attempts, all tiers, a tenth rejected", attempts, "times", None, RETRY_BUDGET, MODEL
+        ),
+        CapacityFigure(
+            chain, "attempts at the tier that rejects", attempts_at_fault, "times", None, RETRY_BUDGET, MODEL
         ),
     ]
 
