--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -1,4 +1,4 @@
-"""The pages name things that are in the code, and the operations page leaves no log event out."""
+"""The pages name things that are in the code, and the operations page has every log event."""
 
 from __future__ import annotations
 
@@ -6,10 +6,14 @@
 import importlib.util
 import re
 from collections.abc import Iterator
+from http import HTTPStatus
 from pathlib import Path
 
 import pytest
 
+from loadbalancer.events import AttemptResult, UpdateKind
+from loadbalancer.proxy.statistics import Gauges, Statistics
+
 ROOT = Path(__file__).parents[1]
 PAGES = (
     "CONTRIBUTING.md",
@@ -83,3 +87,15 @@
     events = {event for path in (ROOT / "loadbalancer").rglob("*.py") for event in log_events(path)}
     assert {"statistics", "endpoint list unavailable, keeping last known good"} <= events
     assert {event for event in events if event not in spans} == set()
+
+
+def test_counters_in_quoted_log_lines_are_those_of_the_code():
+    """The pages quote lines of real runs; a renamed counter would leave them behind."""
+    names = {*Statistics().fields(), *Gauges._fields}
+    names |= {f"attempts_{result.value}" for result in AttemptResult}
+    names |= {f"endpoint_lists_{kind.name.lower()}" for kind in UpdateKind}
+    names |= {f"responses_{status.value}" for status in HTTPStatus}
+    blocks = "".join(re.findall(r"```.*?```", (ROOT / "docs/operations.md").read_text(), flags=re.DOTALL))
+    quoted = set(re.findall(r"(\w+)=\d+", blocks))
+    assert {"cursor", "attempts_connect_failed", "endpoint_lists_unavailable"} <= quoted
+    assert quoted - names == set()
