--- a/benchmarks/plain_server.py
+++ b/benchmarks/hollow/plain_server.py
@@ -1,8 +1,9 @@
-"""A plain list server of many lists: the baseline that the discovery server is compared with.
+"""A plain list server of many lists: the baseline for the discovery server.
 
-It listens at an address for each list and encodes each response for the one watch that gets it. `python -m
-benchmarks.plain_server FILE` reads its lists from a JSON file of `PlainList`, writes `PlainServerReady`,
-takes changed entries by list, as lines of JSON, on standard input and answers each with `ChangeWritten`.
+The server listens at an address for each list and encodes each response for the one watch that gets it.
+`python -m benchmarks.hollow.plain_server FILE` reads its lists from a JSON file of `PlainList` and writes
+`PlainServerReady`. Standard input takes changed entries by list, a line of JSON each; a `ChangeWritten`
+confirms each line.
 """
 
 from __future__ import annotations
@@ -16,15 +17,15 @@
 
 import msgspec
 
-from benchmarks.child_streams import open_standard_input, read_message, write_message
-from benchmarks.list_server import ListServer
-from benchmarks.membership import EndpointEntry, Membership
+from benchmarks.support.child_streams import open_standard_input, read_message, write_message
+from benchmarks.support.list_server import ListServer
+from benchmarks.support.membership import EndpointEntry, Membership
 
 CHANGES = msgspec.json.Decoder(dict[int, list[EndpointEntry]])  # changed entries by the number of their list
 
 
 class PlainList(msgspec.Struct):
-    """A list to be served."""
+    """A list to serve."""
 
     revision: int
     entries: list[EndpointEntry]
@@ -32,22 +33,22 @@
 
 
 class PlainServerReady(msgspec.Struct):
-    """The ports of all lists, which are served from now on."""
+    """The ports of all lists, once they are served."""
 
     ports: list[int]
 
 
 class ChangeWritten(msgspec.Struct):
-    """A change is in the lists."""
+    """A change has been applied to the lists."""
 
     at_s: float  # when it was read, by the machine's monotonic clock
 
 
 class UncachedMembership(Membership):
-    """A list whose responses are encoded anew for each watch."""
+    """A list whose responses are encoded again for each watch."""
 
     def watch_response(self, since: int | None) -> bytes:
-        """See `Membership.watch_response`; the response is encoded for this call alone."""
+        """See `Membership.watch_response`; no encoding is reused."""
         self.forget_encoded_responses()
         return super().watch_response(since)
 
--- a/tests/support/proxy.py
+++ b/tests/support/proxy.py
@@ -5,32 +5,23 @@
 import asyncio
 import contextlib
 import socket
-from collections.abc import Callable, Iterator
+from collections.abc import AsyncIterator, Callable, Iterator
 
 from loadbalancer.actions import Action, Fail, Send
-from loadbalancer.events import (
-    AttemptOutcome,
-    AttemptResult,
-    Event,
-    IncomingRequest,
-)
+from loadbalancer.events import AttemptOutcome, AttemptResult, Event, IncomingRequest
 from loadbalancer.http.addresses import Address
 from loadbalancer.http.client_connection import ClientConnection, HttpResponse
 from loadbalancer.proxy.connection_pool import ConnectionPool
 from loadbalancer.proxy.proxy import Proxy
-from loadbalancer.proxy.upstream_attempt import UpstreamAttempt, UpstreamRequest
-from tests.support.loopback import (
-    LoopbackServer,
-    Message,
-)
+from loadbalancer.proxy.upstream_attempt import UpstreamAttempt
+from tests.support.loopback import LoopbackServer, Message, until
 
 OnResult = Callable[[AttemptResult, HttpResponse | None], object]
 
-
 REQUEST_BYTES = b"GET /read/1 HTTP/1.1\r\nReq-Id: q\r\n\r\n"
 
 
-class FixedRequest(UpstreamRequest):
+class FixedRequest:
     """A request of given bytes that is always needed."""
 
     def __init__(self, data: bytes, on_result: OnResult) -> None:
@@ -86,25 +77,16 @@
     return act
 
 
-class ManualServer:
+class ManualServer(LoopbackServer):
     """A server whose test reads and writes each of its connections itself."""
 
     def __init__(self) -> None:
+        super().__init__()
         self.links: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
 
-    async def start(self) -> ManualServer:
-        self._server = await asyncio.start_server(self._take, "127.0.0.1", 0)
-        self.endpoint = f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
-        return self
-
-    async def _take(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.links.append((reader, writer))
 
-    def stop(self) -> None:
-        self._server.close()
-        for _, writer in self.links:
-            writer.close()
-
 
 class GatedConnects:
     """Holds back the connections that a proxy's pool opens, after the first few, until the gate is set."""
@@ -130,6 +112,19 @@
     return ConnectionPool(limit, endpoint_idle_timeout_s, connect_timeout_s)
 
 
+@contextlib.asynccontextmanager
+async def open_pool(
+    limit: int = 10, endpoint_idle_timeout_s: float = 10.0, connect_timeout_s: float = 20.0
+) -> AsyncIterator[ConnectionPool]:
+    """A connection pool that is closed, with all its connections, at the end of the context."""
+    pool = make_pool(limit, endpoint_idle_timeout_s, connect_timeout_s)
+    try:
+        yield pool
+    finally:
+        pool.close()
+        await until(lambda: pool.size == 0)
+
+
 def answering(response: bytes | None) -> LoopbackServer:
     """A server with one response to every request; None closes the connection."""
 
