--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -77,6 +77,7 @@
 
     @policy.setter
     def policy(self, policy: LoadBalancingPolicy) -> None:
+        """Replace the policy; the next event goes to the new one."""
         self.policy_runner.policy = policy
 
     @property
