--- a/benchmarks/support/open_loop.py
+++ b/benchmarks/support/open_loop.py
@@ -19,8 +19,7 @@
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
 from benchmarks.support.transports import require_stream_transport
-
-Address = tuple[str, int]  # host and port, as asyncio's functions take and return them
+from loadbalancer.http.addresses import Address
 
 MAX_CONNECTIONS = 256  # open at once; further requests wait for one
 DRAIN_TIMEOUT_S = 4.5  # from the last request's due time, for which the client waits for responses
@@ -28,7 +27,7 @@
 MICROSECONDS_PER_S = 1e6
 MAX_RECORDED_US = 60_000_000
 SIGNIFICANT_DIGITS = 3  # of the histograms
-NO_RESPONSE = 0  # the status that stands for a request without a response
+NO_RESPONSE = 0  # the status of a request without a response
 
 REQUEST_MIX = {"read": 0.7, "post": 0.2, "move": 0.1}  # fraction of requests by service class
 REQUEST_BODY = b"y" * 212
--- a/tests/support/model_time.py
+++ b/tests/support/model_time.py
@@ -7,13 +7,16 @@
 from __future__ import annotations
 
 import asyncio
+import functools
 import selectors
 import socket
 from collections.abc import Callable, Coroutine
 from random import Random
-from typing import Any, TypeVar
+from typing import Any, Protocol, TypeVar
 
-from tests.support.loopback import endpoint_list_response, reply
+from loadbalancer.http.addresses import Address
+from loadbalancer.proxy.proxy import Proxy
+from tests.support.messages import endpoint_list_response, reply
 
 _Result = TypeVar("_Result")
 
@@ -36,10 +39,20 @@
         return ready
 
 
+class ModelDiscovery(Protocol):
+    """Discovery as a `ModelLoop` reaches it."""
+
+    async def on_connect(self, address: Address) -> None:
+        """Let a connect to this address succeed, or fail with OSError."""
+
+    def on_request(self, transport: asyncio.Transport, text: str) -> None:
+        """Take a request, given as text, that came on this connection."""
+
+
 class ModelLoop(asyncio.SelectorEventLoop):
     """An event loop in model time, on which every address is that of `discovery`."""
 
-    discovery: DiscoveryModel
+    discovery: ModelDiscovery
 
     def __init__(self) -> None:
         self._model_selector = ModelTimeSelector()
@@ -64,7 +77,9 @@
         """Connect to the discovery, whatever the address; a given socket is used as it is."""
         if sock is not None:
             return await super().create_connection(protocol_factory, sock=sock)
-        await self.discovery.on_connect()
+        assert host is not None
+        assert port is not None
+        await self.discovery.on_connect(Address(host, port))
         client_socket, server_socket = socket.socketpair()
         await super().create_connection(lambda: _DiscoveryConnection(self.discovery), sock=server_socket)
         return await super().create_connection(protocol_factory, sock=client_socket)
@@ -76,8 +91,18 @@
         return runner.run(main)
 
 
+def in_model_time(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
+    """Decorate an asynchronous test to run on a new model loop; the test's fixtures are synchronous."""
+
+    @functools.wraps(test)
+    def run(*args: Any, **kwargs: Any) -> None:
+        run_in_model_time(test(*args, **kwargs))
+
+    return run
+
+
 class _DiscoveryConnection(asyncio.Protocol):
-    def __init__(self, discovery: DiscoveryModel) -> None:
+    def __init__(self, discovery: ModelDiscovery) -> None:
         self._discovery = discovery
         self._transport: asyncio.Transport
 
@@ -95,9 +120,8 @@
     def __init__(self, fault: str, rng: Random) -> None:
         self.up = True
         self.revision = 1
-        self.attempts: asyncio.Queue[str] = (
-            asyncio.Queue()
-        )  # requests, and connects that fail while it is down
+        # Requests, and connects that fail while it is down.
+        self.attempts: asyncio.Queue[str] = asyncio.Queue()
         self.waiting: dict[asyncio.Transport, asyncio.TimerHandle] = {}  # the end of each request's wait
         self._fault = fault
         self._rng = rng
@@ -108,7 +132,7 @@
             return ""
         return self._rng.choice(FAULTS[:-1]) if self._fault == FAULTS[-1] else self._fault
 
-    async def on_connect(self) -> None:
+    async def on_connect(self, _address: Address) -> None:
         """Let a connect succeed, or fail as the fault says."""
         fault = self._current_fault()
         if fault in ("refused", "unreachable"):
@@ -158,3 +182,30 @@
         """Wait until `count` more attempts have been made."""
         for _ in range(count):
             await self.attempts.get()
+
+
+class AdjustableClock:
+    """The running event loop's clock, which a test can advance.
+
+    It has to be made before the objects that keep the loop's clock.
+    """
+
+    def __init__(self) -> None:
+        loop = asyncio.get_running_loop()
+        self._time = loop.time
+        self._advance_s = 0.0
+        loop.time = self.time  # type: ignore[method-assign]
+
+    def time(self) -> float:
+        """The loop's time, in seconds."""
+        return self._time() + self._advance_s
+
+    def advance(self, duration_s: float) -> None:
+        """Let time pass at once."""
+        self._advance_s += duration_s
+
+
+def stop_listener_clock(proxy: Proxy) -> None:
+    """Have no time pass for the proxy's listener: no time-out or grace period of its connections ends."""
+    now_s = proxy.loop.time()
+    proxy.listener.registry.clock = lambda: now_s
