--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -4,7 +4,6 @@
 
 import asyncio
 import logging
-from collections.abc import Set
 from dataclasses import replace
 
 from loadbalancer.discovery.endpoint_list import EndpointList
@@ -68,7 +67,6 @@
         self.listener = self._intake.listener
         self.membership = Membership(self.pool, self.listener, self.statistics, self.policy_runner.notify)
         self._statistics_log = StatisticsLog(config.name, self.statistics, self._gauges)
-        self._execute = self.policy_runner.execute
 
     @property
     def policy(self) -> LoadBalancingPolicy:
@@ -80,11 +78,6 @@
         """Replace the policy; the next event goes to the new one."""
         self.policy_runner.policy = policy
 
-    @property
-    def ready_endpoints(self) -> Set[str]:
-        """Names of the endpoints that requests may be sent to."""
-        return self.membership.ready_endpoints
-
     async def start(self) -> None:
         """Apply the known endpoints and begin to serve.
 
--- a/loadbalancer/proxy/request_parsing.py
+++ b/loadbalancer/proxy/request_parsing.py
@@ -60,16 +60,13 @@
     if request_id in open_request_ids:
         raise BadRequestError(HTTPStatus.BAD_REQUEST, "req-id")
     deadline_s = _deadline_s(http_request, service_class)
-    cost_hint_ms = None
-    if COST_HEADER in headers:
-        cost_hint_ms = _number(headers, COST_HEADER, DECIMAL_NUMBER) / US_PER_MS
     tenant = headers.get(TENANT_HEADER)
     incoming = IncomingRequest(
         request_id=request_id,
         service_class=service_class.name,
         deadline_ms=clock.to_unix_ms(deadline_s),
         tenant=tenant.decode("latin-1") if tenant else None,
-        cost_hint_ms=cost_hint_ms,
+        cost_hint_ms=_cost_hint_ms(headers),
         is_retry=headers.get(RETRY_HEADER) == b"1",
     )
     return PendingRequest(incoming, http_request, deadline_s)
@@ -117,6 +114,13 @@
     return http_request.received_at + client_timeout_ms / 1000.0 - RESPONSE_MARGIN_S
 
 
+def _cost_hint_ms(headers: dict[bytes, bytes]) -> float | None:
+    """The cost that the client expects, None without a hint."""
+    if COST_HEADER not in headers:
+        return None
+    return _number(headers, COST_HEADER, DECIMAL_NUMBER) / US_PER_MS
+
+
 def _number(headers: dict[bytes, bytes], name: bytes, form: re.Pattern[str]) -> float:
     """The value of a numeric header that is present."""
     text = headers[name].decode("latin-1")
--- a/tests/proxy/test_event_loop_turns.py
+++ b/tests/proxy/test_event_loop_turns.py
@@ -75,7 +75,7 @@
                 connection.data_received(data[start : start + piece_bytes])
 
         count = count_calls(receive)
-        assert proxy.ready_endpoints == set(new)
+        assert proxy.membership.ready_endpoints == set(new)
         connection.abort()
         proxy.close()
     return count
--- a/tests/proxy/test_policy_events.py
+++ b/tests/proxy/test_policy_events.py
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize("kind", [IncomingRequest, AttemptOutcome])
-async def test_policy_fault_leaves_no_request_without_a_response(kind):
+async def test_request_gets_a_response_after_a_policy_fault(kind):
     def act(event):
         if isinstance(event, kind):
             raise RuntimeError("broken")
@@ -57,7 +57,7 @@
     await until(lambda: [event.name for event in scripted.events_of(TimerFired)].count("tick") == 2)
 
 
-async def test_request_that_the_policy_leaves_open_fails_at_its_deadline(proxy):
+async def test_request_without_an_action_of_the_policy_fails_at_its_deadline(proxy):
     proxy.policy = scripted = ScriptedPolicy()
     assert (await send_request(proxy, request(Req_Deadline_Ms="200"))).status == 504
     assert [event.request_id for event in scripted.events_of(ClientDisconnected)] == ["q1"]
--- a/tests/proxy/test_upstream_attempt.py
+++ b/tests/proxy/test_upstream_attempt.py
@@ -78,12 +78,12 @@
 async def test_missing_response_is_a_timeout_and_closes_the_connection(pool, listener):
     pool.add("s", listener.getsockname())
     assert await attempt_result(pool, timeout_s=0.2) is AttemptResult.TIMEOUT
-    peer, _ = listener.accept()
-    with peer:
-        assert peer.recv(1000) == REQUEST_BYTES
+    accepted, _ = listener.accept()
+    with accepted:
+        assert accepted.recv(1000) == REQUEST_BYTES
         await asyncio.sleep(0)  # asyncio closes the socket in the loop's next turn
-        peer.settimeout(20)
-        assert peer.recv(1000) == b""
+        accepted.settimeout(20)
+        assert accepted.recv(1000) == b""
 
 
 async def test_reset_before_the_last_byte_is_written_is_connect_failed(pool, listener):
@@ -91,11 +91,11 @@
     result = asyncio.create_task(attempt_result(pool, data=b"x" * 30_000_000))
     loop = asyncio.get_running_loop()
     listener.setblocking(False)
-    peer, _ = await loop.sock_accept(listener)
-    with peer:
-        peer.setblocking(False)
-        await loop.sock_recv(peer, 1000)
-        peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    accepted, _ = await loop.sock_accept(listener)
+    with accepted:
+        accepted.setblocking(False)
+        await loop.sock_recv(accepted, 1000)
+        accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     assert await result is AttemptResult.CONNECT_FAILED
 
 
