--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,7 @@
-"""Known failing tests: KNOWN-RED.txt lists them, and a run passes over just these and prints them.
+"""Known failing tests: KNOWN-RED.txt lists them, and a run expects just these to fail and prints them.
 
-Each line is `test id: cause; issue`. A listed test has to fail: one that passes, or a line that names none,
-fails the run, so that the list can't outlive its faults.
+Each line is `test id: cause; issue`. A listed test that passes fails the run, and so does a line that names
+no test: the list can't outlive its faults.
 """
 
 from __future__ import annotations
--- a/tests/proxy/test_attempt_races.py
+++ b/tests/proxy/test_attempt_races.py
@@ -183,11 +183,11 @@
         pool.add("s", Address(*server.getsockname()))
         attempt = start_attempt(pool, "s", lambda *_: None, request(), 60.0)
         await until(lambda: attempt.sent)
-        peer, _ = server.accept()
-        with peer:
-            assert peer.recv(10_000) == request()
+        accepted, _ = server.accept()
+        with accepted:
+            assert accepted.recv(10_000) == request()
             attempt.cancel()
-            assert peer.recv(1) == b""  # the event loop has had no turn
+            assert accepted.recv(1) == b""  # the event loop has had no turn
 
 
 async def test_keyed_retry_that_connects_after_the_deduplication_window_is_not_sent():
--- a/tests/proxy/test_connection_limits.py
+++ b/tests/proxy/test_connection_limits.py
@@ -40,7 +40,7 @@
         assert len(server.seen) == 1
 
 
-async def test_flood_of_connections_stays_within_the_downstream_limit_and_is_accepted():
+async def test_flood_of_connections_is_accepted_up_to_the_downstream_limit():
     async with running_proxy(LoopbackServer(), limits={"sockets": 132}) as proxy:
         stop_listener_clock(proxy)
         clients = [await HttpClient.to(proxy) for _ in range(200)]
@@ -49,7 +49,7 @@
         assert (await clients[-1].send(request())).status == 200
 
 
-async def test_burst_of_connections_stays_within_the_descriptors_while_it_is_accepted():
+async def test_burst_of_connections_keeps_to_the_descriptor_limit():
     async with (
         running_proxy(LoopbackServer(), limits={"sockets": 132}) as proxy,
         contextlib.AsyncExitStack() as stack,
--- a/tests/proxy/test_connection_state.py
+++ b/tests/proxy/test_connection_state.py
@@ -34,16 +34,16 @@
         _, connection = await asyncio.get_running_loop().create_connection(
             lambda: ClientConnection(lambda _: None), *listener.getsockname()
         )
-        peer, _ = listener.accept()
-        with peer:
-            yield connection, peer
+        remote, _ = listener.accept()
+        with remote:
+            yield connection, remote
         connection.abort()
 
 
-def reset(peer: socket.socket) -> None:
+def reset(remote: socket.socket) -> None:
     """Close the connection by a reset."""
-    peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-    peer.close()
+    remote.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    remote.close()
 
 
 def wait_for_unread_data(connection: ClientConnection) -> None:
@@ -54,8 +54,8 @@
 
 
 async def test_write_that_fails_at_once_has_not_been_written():
-    async with connected_pair() as (connection, peer):
-        reset(peer)
+    async with connected_pair() as (connection, remote):
+        reset(remote)
         wait_for_unread_data(connection)
         exchange = RecordingExchange()
         connection.send_request(REQUEST_BYTES, exchange)
@@ -64,16 +64,16 @@
 
 
 async def test_unread_end_of_stream_makes_a_connection_unusable():
-    async with connected_pair() as (connection, peer):
+    async with connected_pair() as (connection, remote):
         assert connection.reusable
-        peer.close()
+        remote.close()
         wait_for_unread_data(connection)
         assert not connection.reusable  # though the event loop has had no turn to report it
 
 
 @pytest.mark.parametrize("read", [pytest.param(False, id="unread"), pytest.param(True, id="read")])
 async def test_buffered_request_counts_as_written_once_it_has_left(read):
-    async with connected_pair() as (connection, peer):
+    async with connected_pair() as (connection, remote):
         transport = connection._transport
         assert transport is not None
         transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1)
@@ -81,11 +81,11 @@
             transport.write(b"x" * 1000)
         connection.send_request(REQUEST_BYTES, exchange := RecordingExchange())
         assert 0 < transport.get_write_buffer_size() <= 1000 + len(REQUEST_BYTES)
-        peer.setblocking(False)
+        remote.setblocking(False)
         while read and transport.get_write_buffer_size():
             with contextlib.suppress(BlockingIOError):
-                peer.recv(1_000_000)
+                remote.recv(1_000_000)
             await asyncio.sleep(0)
-        reset(peer)
+        reset(remote)
         await until(lambda: exchange.outcomes)
         assert exchange.outcomes == [read]
--- a/tests/proxy/test_descriptor_limits.py
+++ b/tests/proxy/test_descriptor_limits.py
@@ -205,7 +205,7 @@
 
 
 @pytest.mark.parametrize("case", CASES)
-async def test_idle_clients_leave_descriptors_for_discovery_and_endpoints(tmp_path, case):
+async def test_idle_clients_do_not_exhaust_the_descriptors_of_discovery_and_endpoints(tmp_path, case):
     async with limited_proxy(tmp_path, case) as proxy, IdleClients(proxy.address, case.data) as idle:
         assert (await send_until_response(proxy.address, READINESS_REQUEST)).status == 200
         async with contextlib.AsyncExitStack() as earlier:
@@ -228,7 +228,7 @@
     """Unidentified clients that send a byte in every turn of the event loop, so that bytes always wait.
 
     Attributes:
-        most_connections: the highest number of connections that the proxy had in a turn.
+        peak_connections: the highest number of connections of the proxy in a turn.
     """
 
     def __init__(self, proxy: Proxy, clients: list[HttpClient]) -> None:
@@ -236,14 +236,14 @@
         self._sockets = [client.writer.get_extra_info("socket").dup() for client in clients]
         for client in self._sockets:
             client.send(PARTIAL_REQUEST + b"X-Slow: ")
-        self.most_connections = 0
+        self.peak_connections = 0
 
     def start(self) -> None:
         self._next_turn = self._proxy.loop.call_soon(self._write)
 
     def _write(self) -> None:
         self._next_turn = self._proxy.loop.call_soon(self._write)
-        self.most_connections = max(self.most_connections, len(self._proxy.listener.connections))
+        self.peak_connections = max(self.peak_connections, len(self._proxy.listener.connections))
         for client in self._sockets:
             with contextlib.suppress(OSError):
                 client.send(b"y")
@@ -264,7 +264,7 @@
         async with IdleClients(listener.address, b"") as idle:
             idle.connect_burst()
             listening = listener.listening_sockets[0].fileno()
-            await until(lambda: writing.most_connections > listener.limit and not is_readable(listening))
+            await until(lambda: writing.peak_connections > listener.limit and not is_readable(listening))
         writing.stop()
         excess = EXCESS_ACCEPT_BATCHES * listener.accept_batch
-        assert writing.most_connections - listener.limit == excess
+        assert writing.peak_connections - listener.limit == excess
--- a/tests/proxy/test_forwarding.py
+++ b/tests/proxy/test_forwarding.py
@@ -8,13 +8,7 @@
 
 from loadbalancer.actions import Fail, Reject, Send
 from loadbalancer.discovery.endpoint_list import EndpointList
-from loadbalancer.events import (
-    AttemptOutcome,
-    AttemptResult,
-    ClientDisconnected,
-    Endpoint,
-    UpdateKind,
-)
+from loadbalancer.events import AttemptOutcome, AttemptResult, ClientDisconnected, Endpoint, UpdateKind
 from loadbalancer.http.addresses import Address
 from tests.support.loopback import (
     HttpClient,
--- a/tests/proxy/test_graceful_shutdown.py
+++ b/tests/proxy/test_graceful_shutdown.py
@@ -83,11 +83,11 @@
     server = StalledBackend()
     late_request = request("post", "late")
     async with running_proxy(server) as proxy:
-        late, held = await connect_with_half_request(proxy, late_request), await HttpClient.to(proxy)
-        held.writer.write(request("read", "held"))
+        late, in_flight = await connect_with_half_request(proxy, late_request), await HttpClient.to(proxy)
+        in_flight.writer.write(request("read", "held"))
         await until(lambda: server.seen)
-        async with shutting_down(proxy), late, held:
-            assert (await held.read_response()).status == 503
+        async with shutting_down(proxy), late, in_flight:
+            assert (await in_flight.read_response()).status == 503
             assert (await late.send(late_request[HALF:])).status == 503
             assert server.request_ids == ["held"]
 
@@ -99,15 +99,15 @@
     server = StalledBackend()
     half_request = request("post", "half")
     async with running_proxy(server) as proxy:
-        half, held = await connect_with_half_request(proxy, half_request), await HttpClient.to(proxy)
-        held.writer.write(request("read", "held"))
+        half, in_flight = await connect_with_half_request(proxy, half_request), await HttpClient.to(proxy)
+        in_flight.writer.write(request("read", "held"))
         await until(lambda: server.seen)
-        async with shutting_down(proxy), half, held:
+        async with shutting_down(proxy), half, in_flight:
             idle = await HttpClient.to(proxy)
             assert await idle.reader.read() == b""  # by now idle connections are being closed
             half.writer.write(half_request[HALF:])
             server.release.set()
-            for client in (half, held):
+            for client in (half, in_flight):
                 response = await client.read_response()
                 assert (response.status, response.headers["connection"]) == (200, "close")
 
--- a/tests/proxy/test_start.py
+++ b/tests/proxy/test_start.py
@@ -68,7 +68,7 @@
 
     address: Address
     discovery: DiscoveryOutage
-    old_endpoint: LoopbackServer  # one of the two of an outdated list; the other one is gone
+    old_endpoint: LoopbackServer  # one of the two of an outdated list; the other one does not listen
 
 
 @contextlib.asynccontextmanager
@@ -76,8 +76,8 @@
     """A proxy process that knows either no endpoints or an outdated list of two."""
     async with DiscoveryOutage(outage) as discovery, LoopbackServer() as old_endpoint:
         address = free_address()
-        gone = "{}:{}".format(*free_address())
-        outdated = targets(gone=(gone, "Ready"), old=(old_endpoint.endpoint, "Ready"))
+        removed = "{}:{}".format(*free_address())
+        outdated = targets(removed=(removed, "Ready"), old=(old_endpoint.endpoint, "Ready"))
         document = config_document(
             discovery.address,
             known=outdated if known == "outdated" else [],
--- a/tests/proxy/test_watch_races.py
+++ b/tests/proxy/test_watch_races.py
@@ -144,7 +144,7 @@
 
 
 @in_model_time
-async def test_first_poll_of_a_connection_waits_a_second_at_most():
+async def test_first_poll_of_a_connection_waits_no_longer_than_a_second():
     async with following_watch() as (_, discovery):
         poll = await discovery.next_poll()
         assert poll.query == "since=1&timeout_ms=1000"
--- a/tests/support/disconnects.py
+++ b/tests/support/disconnects.py
@@ -1,4 +1,4 @@
-"""Clients that disconnect at a given moment, and endpoints whose first attempt fails."""
+"""Clients that disconnect at a given moment, and endpoints at which the first attempt fails."""
 
 from __future__ import annotations
 
@@ -11,7 +11,6 @@
 from loadbalancer.events import Event
 from loadbalancer.http.addresses import Address
 from loadbalancer.http.client_connection import ClientConnection
-from loadbalancer.proxy.connection_pool import EndpointConnections
 from loadbalancer.proxy.proxy import Proxy
 from tests.support.loopback import HttpClient, LoopbackServer, send_request, until
 from tests.support.messages import Message, reply, request
@@ -58,7 +57,7 @@
             self._socket.close()
 
     def _wait_until_end_of_stream_arrived(self) -> None:
-        """Wait until the proxy's kernel has acknowledged it: on a busy machine loopback takes time too."""
+        """Wait until the proxy's kernel has acknowledged it, which takes time on a busy machine."""
         established, fin_wait_1 = 1, 4
         for _ in range(20_000):
             state = self._socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0]
@@ -72,7 +71,7 @@
 
 
 def disconnect_at_send(proxy: Proxy, number: int, client: DisconnectingClient) -> None:
-    """Have the client disconnect as the policy has just returned its `Send` of this number."""
+    """Have the client disconnect when the policy returns its `Send` of this number."""
     handle, sends = proxy.policy.handle, 0
 
     def handle_and_disconnect(now_ms: float, event: Event) -> list[Action]:
@@ -88,7 +87,7 @@
 
 
 def disconnect_at_connection(proxy: Proxy, number: int, client: DisconnectingClient) -> None:
-    """Have the client disconnect as the upstream connection of this number is just established."""
+    """Have the client disconnect when the upstream connection of this number is established."""
     connect, connections = proxy.pool.connect, 0
 
     async def connect_and_disconnect(address: Address) -> ClientConnection:
@@ -112,7 +111,7 @@
 
     @property
     def seen(self) -> list[str]:
-        """The ids of the requests that have reached an endpoint, those that opened connections apart."""
+        """The ids of the requests that have reached an endpoint, without those of `open_connections`."""
         ids = [request_id for server in self.servers for request_id in server.request_ids]
         return [request_id for request_id in ids if not request_id.startswith("warm")]
 
@@ -132,23 +131,15 @@
         return responses.get(self._first_result, reply())
 
     def prepare(self, proxy: Proxy) -> None:
-        """Have the proxy's first connection refused, if that is the result; no idle one is used before it."""
+        """If the result is "refused", have the first attempt use a new connection, which is refused."""
         if self._first_result != "refused":
             return
-        connect, acquire_idle = proxy.pool.connect, proxy.pool.acquire_idle
-        faults = ["no idle connection", "refused"]
-
-        async def refuse_first(address: Address) -> ClientConnection:
-            if faults:
-                faults.clear()
-                raise ConnectionRefusedError
-            return await connect(address)
-
-        def acquire_no_idle_first(endpoint: EndpointConnections) -> ClientConnection | None:
-            if len(faults) == 2:
-                faults.pop(0)
-                return None
-            return acquire_idle(endpoint)
-
-        proxy.pool.connect = refuse_first  # type: ignore[method-assign]
-        proxy.pool.acquire_idle = acquire_no_idle_first  # type: ignore[method-assign]
+        pool = proxy.pool
+        connect, acquire_idle = pool.connect, pool.acquire_idle
+
+        async def refuse(address: Address) -> ClientConnection:
+            pool.connect, pool.acquire_idle = connect, acquire_idle  # type: ignore[method-assign]
+            raise ConnectionRefusedError
+
+        pool.connect = refuse  # type: ignore[method-assign]
+        pool.acquire_idle = lambda endpoint: None  # type: ignore[method-assign]
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -1,4 +1,4 @@
-"""Loopback stand-ins for what a proxy talks to, scripted by each test: clients, backends and discovery."""
+"""Stand-ins on the loopback address for a proxy's clients, backends and discovery, scripted by each test."""
 
 from __future__ import annotations
 
@@ -10,14 +10,7 @@
 from weakref import WeakKeyDictionary
 
 from loadbalancer.proxy.proxy import Proxy
-from tests.support.messages import (
-    Message,
-    endpoint_list_response,
-    read_message,
-    reply,
-    request,
-    targets,
-)
+from tests.support.messages import Message, endpoint_list_response, read_message, reply, request, targets
 from tests.support.proxy_config import config, config_document
 from tests.support.scripted_policy import ScriptedPolicy
 
@@ -160,7 +153,7 @@
 
 
 class ScriptedDiscovery(LoopbackServer):
-    """A discovery that returns `responses`, one response a call, and lets further calls wait."""
+    """A discovery that returns `responses`, one to each request, and lets further requests wait."""
 
     def __init__(self, *responses: bytes | None) -> None:
         super().__init__(self._next)
--- a/tests/support/model_time.py
+++ b/tests/support/model_time.py
@@ -1,7 +1,7 @@
-"""An event loop in model time, and a discovery on it that fails as its test says.
+"""Event loops whose time does not depend on the machine, and a discovery that fails as its test says.
 
-The clock jumps to the next timer when nothing is left to read, so that a run takes as long as its steps and
-has the same result each time. The connections are real socket pairs.
+In model time the clock jumps to the next timer when nothing is left to read, so that a run takes as long as
+its steps and has the same result each time. The connections are real socket pairs.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
 
 
 class ModelTimeSelector(selectors.DefaultSelector):
-    """Advances its clock in place of waiting; fails where nothing is left to wait for."""
+    """Advances its clock in place of waiting; fails if nothing is left to wait for."""
 
     now_s = 0.0
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """Return what is ready at once, else let `timeout` seconds pass in model time."""
+        """Return what is ready; if nothing is, let `timeout` seconds pass in model time."""
         ready = super().select(0)
         if not ready:
             assert timeout is not None, "nothing is left to wait for"
@@ -115,7 +115,7 @@
 
 
 class DiscoveryModel:
-    """Responds to watches while it is up; while it is down, each attempt ends as the fault says."""
+    """Responds to watch requests while it is up; while it is down, each of them fails as the fault says."""
 
     def __init__(self, fault: str, rng: Random) -> None:
         self.up = True
@@ -179,7 +179,7 @@
         self.waiting.clear()
 
     async def wait_for_attempts(self, count: int) -> None:
-        """Wait until `count` more attempts have been made."""
+        """Wait until `count` more connects or requests have been made."""
         for _ in range(count):
             await self.attempts.get()
 
--- a/tests/support/proxy.py
+++ b/tests/support/proxy.py
@@ -8,21 +8,13 @@
 from collections.abc import Callable, Iterator
 
 from loadbalancer.actions import Action, Fail, Send
-from loadbalancer.events import (
-    AttemptOutcome,
-    AttemptResult,
-    Event,
-    IncomingRequest,
-)
+from loadbalancer.events import AttemptOutcome, AttemptResult, Event, IncomingRequest
 from loadbalancer.http.addresses import Address
 from loadbalancer.http.client_connection import ClientConnection, HttpResponse
 from loadbalancer.proxy.connection_pool import ConnectionPool
 from loadbalancer.proxy.proxy import Proxy
 from loadbalancer.proxy.upstream_attempt import UpstreamAttempt
-from tests.support.loopback import (
-    LoopbackServer,
-    Message,
-)
+from tests.support.loopback import LoopbackServer, Message
 
 OnResult = Callable[[AttemptResult, HttpResponse | None], object]
 
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -6,7 +6,7 @@
 README = Path(__file__).parents[1] / "README.md"
 
 
-def test_the_example_runs():
+def test_example_of_the_readme_runs():
     blocks = re.findall(r"```python\n(.*?)```", README.read_text(), flags=re.DOTALL)
     assert len(blocks) == 1
     exec(compile(blocks[0], str(README), "exec"), {})
