--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -1,20 +1,27 @@
-"""The pages name things that are in the code, and the operations page leaves no log event out."""
+"""The pages name things that are in the code, and the operations page has every log event."""
 
 from __future__ import annotations
 
 import ast
+import importlib.util
 import re
 from collections.abc import Iterator
+from http import HTTPStatus
 from pathlib import Path
 
 import pytest
 
+from loadbalancer.events import AttemptResult, UpdateKind
+from loadbalancer.proxy.statistics import Gauges, Statistics
+
 ROOT = Path(__file__).parents[1]
 PAGES = (
+    "CONTRIBUTING.md",
     "README.md",
     "docs/architecture.md",
     "docs/configuration.md",
     "docs/limits.md",
+    "docs/open-issues.md",
     "docs/operations.md",
     "docs/races.md",
     "docs/slow-start.md",
@@ -35,7 +42,10 @@
 
 @pytest.mark.parametrize("page", PAGES)
 def test_files_on_the_pages_exist(page):
-    paths = [path.relative_to(ROOT).as_posix() for path in [*ROOT.glob("docs/*.md"), *sources()]]
+    paths = [
+        path.relative_to(ROOT).as_posix()
+        for path in [*ROOT.glob("*.md"), *ROOT.glob("docs/*.md"), *sources()]
+    ]
     named = [span for span in code_spans(page) if re.fullmatch(r"[\w/-]+\.(py|md)", span)]
     assert [name for name in named if not any(f"/{path}".endswith(f"/{name}") for path in paths)] == []
 
@@ -48,6 +58,15 @@
     assert [name for name in named if not set(name.split(".")) <= known] == []
 
 
+@pytest.mark.parametrize("page", PAGES)
+def test_modules_that_the_pages_run_exist(page):
+    """The names after `python -m`, and the benchmarks' commands."""
+    text = (ROOT / page).read_text()
+    named = set(re.findall(r"python -m ((?:loadbalancer|benchmarks)(?:\.[a-z_]+)*)", text))
+    named |= set(re.findall(r"`(benchmarks(?:\.[a-z_]+)+)`", text))
+    assert [name for name in named if importlib.util.find_spec(name) is None] == []
+
+
 def log_events(path: Path) -> Iterator[str]:
     """The event of each log call in a file: its text up to the first field."""
     for node in ast.walk(ast.parse(path.read_text())):
@@ -68,3 +87,15 @@
     events = {event for path in (ROOT / "loadbalancer").rglob("*.py") for event in log_events(path)}
     assert {"statistics", "endpoint list unavailable, keeping last known good"} <= events
     assert {event for event in events if event not in spans} == set()
+
+
+def test_counters_in_quoted_log_lines_are_those_of_the_code():
+    """The pages quote lines of real runs; a renamed counter would leave them behind."""
+    names = {*Statistics().fields(), *Gauges._fields}
+    names |= {f"attempts_{result.value}" for result in AttemptResult}
+    names |= {f"endpoint_lists_{kind.name.lower()}" for kind in UpdateKind}
+    names |= {f"responses_{status.value}" for status in HTTPStatus}
+    blocks = "".join(re.findall(r"```.*?```", (ROOT / "docs/operations.md").read_text(), flags=re.DOTALL))
+    quoted = set(re.findall(r"(\w+)=\d+", blocks))
+    assert {"cursor", "attempts_connect_failed", "endpoint_lists_unavailable"} <= quoted
+    assert quoted - names == set()
