--- a/tests/benchmarks/test_commands.py
+++ b/tests/benchmarks/test_commands.py
@@ -27,6 +27,7 @@
     completed = subprocess.run(arguments, capture_output=True, text=True, check=False)
     assert completed.returncode == 0, completed.stderr
     results = orjson.loads(out.read_bytes())
+    assert set(results) == {"command", "at", "python", "about", "rows", "slopes"}
     assert results["command"][2] == f"benchmarks.{module}"
     assert all(record[cost] > 0.0 for record in results["rows"])
     assert str(results["rows"][0]["list"]) in completed.stdout
