--- a/benchmarks/capacity/figures.py
+++ b/benchmarks/capacity/figures.py
@@ -34,6 +34,8 @@
 PROPAGATION_BUDGET_S = 8
 PROPAGATION_BUDGET_MS = 8000
 
+DISCOVERY_SERVER = "discovery server"  # the role
+
 # Result files.
 DATA_PATH = "datapath"
 QUIET_DATA_PATH = "datapath-quiet"
@@ -139,36 +141,42 @@
 
 def discovery_server_figures(results: ResultFiles) -> list[CapacityFigure]:
     """Return the cost of one machine's watches to a discovery server."""
+    return [*_steady_watch_figures(results), *_watch_event_figures(results)]
+
+
+def _steady_watch_figures(results: ResultFiles) -> list[CapacityFigure]:
     cores = _thousandth(results.slope_at(ONE_LIST, "calm_directory_cpu_ms_per_s", WATCHES))
     fleet_cores = _thousandth(results.maximum(FLEET_CHAIN, "calm_zone_cpu_ms_per_s"))  # no line fits
     memory_mib = results.slope_at(ONE_LIST, "directory_rss_mib", WATCHES)
     fleet_memory_mib = results.maximum(FLEET_CHAIN, "zone_rss_mib")
     bytes_per_s = results.slope_at(ONE_LIST, "calm_bytes_out_per_s", WATCHES)
-    change_ms = results.slope_at(ONE_LIST, "rate_directory_cpu_ms_per_change", LARGEST_SERVICE)
-    loss_ms = results.slope_at(ONE_LIST, "burst_last_ms", LARGEST_SERVICE)
-    restart_ms = results.slope_at(ONE_LIST, "restart_last_ms", WATCHES)
     one = f"{WATCHES} watches, one list"
     fleet = f"all {SERVICES} lists"
-    loss_name = f"a zone's loss delivered to {LARGEST_SERVICE} watches"
-    budget_cores, budget_ms = DISCOVERY_SERVER_BUDGET_CORES, PROPAGATION_BUDGET_MS
-    figure = partial(CapacityFigure, "discovery server")
     fleet_name = f"{fleet}, up to 4000 watches, worst"
+    budget_cores = DISCOVERY_SERVER_BUDGET_CORES
+    figure = partial(CapacityFigure, DISCOVERY_SERVER)
     return [
         figure(one, cores, "cores", budget_cores, WATCH_REGISTRY, ONE_LIST),
         figure(fleet_name, fleet_cores, "cores", budget_cores, WATCH_REGISTRY, FLEET_CHAIN),
         figure(f"memory, {one}", memory_mib, "MiB", None, ENDPOINT_STORE, ONE_LIST),
         figure(f"memory, {fleet}, worst", fleet_memory_mib, "MiB", None, ENDPOINT_STORE, FLEET_CHAIN),
         figure(f"bytes out, {WATCHES} watches, calm", bytes_per_s, "B/s", None, WATCH_REGISTRY, ONE_LIST),
-        figure(f"a change to {LARGEST_SERVICE} watches", change_ms, "ms", None, WATCH_REGISTRY, ONE_LIST),
-        figure(loss_name, loss_ms, "ms", budget_ms, WATCH_REGISTRY, ONE_LIST),
-        figure(
-            f"restart, until all {WATCHES} watches have the list",
-            restart_ms,
-            "ms",
-            budget_ms,
-            SNAPSHOT_STORE,
-            ONE_LIST,
-        ),
+    ]
+
+
+def _watch_event_figures(results: ResultFiles) -> list[CapacityFigure]:
+    change_ms = results.slope_at(ONE_LIST, "rate_directory_cpu_ms_per_change", LARGEST_SERVICE)
+    loss_ms = results.slope_at(ONE_LIST, "burst_last_ms", LARGEST_SERVICE)
+    restart_ms = results.slope_at(ONE_LIST, "restart_last_ms", WATCHES)
+    change_name = f"a change to {LARGEST_SERVICE} watches"
+    loss_name = f"a zone's loss delivered to {LARGEST_SERVICE} watches"
+    restart_name = f"restart, until all {WATCHES} watches have the list"
+    budget_ms = PROPAGATION_BUDGET_MS
+    figure = partial(CapacityFigure, DISCOVERY_SERVER, unit="ms", run=ONE_LIST)
+    return [
+        figure(change_name, change_ms, budget=None, mechanism=WATCH_REGISTRY),
+        figure(loss_name, loss_ms, budget=budget_ms, mechanism=WATCH_REGISTRY),
+        figure(restart_name, restart_ms, budget=budget_ms, mechanism=SNAPSHOT_STORE),
     ]
 
 
@@ -205,12 +213,26 @@
 
 def model_figures(results: ResultFiles) -> list[CapacityFigure]:
     """Return the figures of simulated services and chains."""
-    service, chain = f"service of {LARGEST_SERVICE:,}", "chain of 12"
+    return [*_service_figures(results), *_chain_figures(results)]
+
+
+def _service_figures(results: ResultFiles) -> list[CapacityFigure]:
     nodes: dict[str, float | str] = {"nodes": LARGEST_SERVICE}
     connections = _ratio(results.figure(MODEL, "held 15s", nodes), LARGEST_SERVICE)
     opened = results.figure(MODEL, "opened/call 15s", nodes)
     skew = results.figure(MODEL, "worst/mean", nodes)
     served = results.figure(MODEL, "served", nodes)
+    connections_name = f"connections open at a server, {LARGEST_SERVICE} nodes"
+    figure = partial(CapacityFigure, f"service of {LARGEST_SERVICE:,}", budget=None, run=MODEL)
+    return [
+        figure(connections_name, connections, unit="", mechanism=SUBSETS),
+        figure("connections opened a request", opened, unit="", mechanism=CONNECTION_POOL),
+        figure("largest load of a server over the mean", skew, unit="times", mechanism=SUBSETS),
+        figure("fraction served at half the load", served, unit="", mechanism=ADMISSION),
+    ]
+
+
+def _chain_figures(results: ResultFiles) -> list[CapacityFigure]:
     fault: dict[str, float | str] = {
         "tenth of": "full, calls",
         "tier": "last",
@@ -219,20 +241,12 @@
     }
     attempts = results.figure(MODEL, "sent/tier", fault, "chains")
     attempts_at_fault = results.figure(MODEL, "there", fault, "chains")
-    connections_name = f"connections open at a server, {LARGEST_SERVICE} nodes"
+    figure = partial(
+        CapacityFigure, "chain of 12", unit="times", budget=None, mechanism=RETRY_BUDGET, run=MODEL
+    )
     return [
-        CapacityFigure(service, connections_name, connections, "", None, SUBSETS, MODEL),
-        CapacityFigure(service, "connections opened a request", opened, "", None, CONNECTION_POOL, MODEL),
-        CapacityFigure(
-            service, "largest load of a server over the mean", skew, "times", None, SUBSETS, MODEL
-        ),
-        CapacityFigure(service, "fraction served at half the load", served, "", None, ADMISSION, MODEL),
-        CapacityFigure(
-            chain, "attempts, all tiers, a tenth rejected", attempts, "times", None, RETRY_BUDGET, MODEL
-        ),
-        CapacityFigure(
-            chain, "attempts at the tier that rejects", attempts_at_fault, "times", None, RETRY_BUDGET, MODEL
-        ),
+        figure("attempts, all tiers, a tenth rejected", attempts),
+        figure("attempts at the tier that rejects", attempts_at_fault),
     ]
 
 
--- a/benchmarks/control/report.py
+++ b/benchmarks/control/report.py
@@ -15,7 +15,7 @@
 from benchmarks.support.open_loop import histogram
 from benchmarks.support.processes import resident_mib
 from benchmarks.support.records import Record, Row
-from benchmarks.support.regression import Slope, fit_columns, has_enough_sizes, standard_error
+from benchmarks.support.regression import Slope, has_enough_sizes, regress_columns, standard_error
 from benchmarks.support.report import format_table, write_results
 
 BUDGET_CORES = 0.027
@@ -109,7 +109,7 @@
             name = f"{figure} over changes a second, {size} servers"
             lines[name] = _Line(of_size, "changes_per_s", figure)
     return {
-        name: fit_columns(line.rows, line.x, line.y)
+        name: regress_columns(line.rows, line.x, line.y)
         for name, line in lines.items()
         if has_enough_sizes(line.rows, line.x)
     }
--- a/benchmarks/hollow/measurement.py
+++ b/benchmarks/hollow/measurement.py
@@ -10,8 +10,9 @@
 from benchmarks.hollow.phases import Phase
 from benchmarks.hollow.plan import CHANGES_PER_DAY, DAY_S, Plan
 from benchmarks.hollow.records import EventsRecord, HollowRecord, WatchCounts, event_figures, steady_figures
-from benchmarks.hollow.run import DEFAULT_TIMING, HollowRun, RunTiming
+from benchmarks.hollow.run import HollowRun
 from benchmarks.hollow.servers_under_test import server_under_test
+from benchmarks.hollow.written_changes import DEFAULT_TIMING, RunTiming
 
 
 async def measure(plan: Plan, watches: int, folder: Path, timing: RunTiming = DEFAULT_TIMING) -> HollowRecord:
--- a/benchmarks/hollow/report.py
+++ b/benchmarks/hollow/report.py
@@ -6,7 +6,7 @@
 from dataclasses import asdict
 
 from benchmarks.support.records import Row
-from benchmarks.support.regression import Slope, fit_columns, has_enough_sizes
+from benchmarks.support.regression import Slope, has_enough_sizes, regress_columns
 from benchmarks.support.report import format_table
 
 COLUMN_GROUPS = ("", "calm_", "rate_", "burst_", "return_", "restart_", "log_")  # by prefix; "": all others
@@ -18,7 +18,7 @@
     if not has_enough_sizes(rows, "watches"):
         return {}
     return {
-        key: fit_columns(rows, "watches", key)
+        key: regress_columns(rows, "watches", key)
         for key in rows[0]
         if key.endswith(FITTED_SUFFIXES) and all(isinstance(row.get(key), int | float) for row in rows)
     }
--- a/benchmarks/hollow/run.py
+++ b/benchmarks/hollow/run.py
@@ -4,34 +4,19 @@
 
 import asyncio
 import time
-from collections.abc import Awaitable, Callable, Sequence
-from dataclasses import dataclass
+from collections.abc import Awaitable, Callable
 
-from benchmarks.hollow.change_deliveries import ChangeDeliveries
-from benchmarks.hollow.messages import ExpectChange, NodeCounters, StartNodes, WatchedList
+from benchmarks.hollow.messages import StartNodes, WatchedList
 from benchmarks.hollow.node_processes import NodeProcesses
 from benchmarks.hollow.phases import BurstPhases, Phase, RestartPhase
 from benchmarks.hollow.plan import Plan
 from benchmarks.hollow.servers_under_test import ServerUnderTest
 from benchmarks.hollow.service_lists import ListChanges, ServiceLists, service_sizes
+from benchmarks.hollow.written_changes import DEFAULT_TIMING, RunTiming, WrittenChanges
 from benchmarks.support.membership import EndpointListMessage
 from benchmarks.support.processes import ProcessUsage
 
 HOLLOW_ROLE = "hollow"  # of the processes of hollow nodes
-DELIVERY_POLL_S = 0.2
-
-
-@dataclass(frozen=True, slots=True)
-class RunTiming:
-    """The waits of a run, in seconds."""
-
-    settle_s: float = 1.0  # for a repeated delivery to arrive
-    downtime_s: float = 1.0  # between a server's end and its start
-    # After this, a change counts as missed by the watches that it has not reached.
-    delivery_timeout_s: float = 30.0
-
-
-DEFAULT_TIMING = RunTiming()
 
 
 class HollowRun:
@@ -60,7 +45,7 @@
         self.server = server
         self._nodes = nodes
         self._timing = timing
-        self._written_at_s: dict[int, float] = {}  # by the change's serial number
+        self._changes = WrittenChanges(server, nodes, timing)
 
     async def start(self) -> dict[str, float]:
         """Start all processes and watches; return each role's memory before the watches, in MiB."""
@@ -106,12 +91,12 @@
             started = time.monotonic()
             for index in range(int(seconds / interval_s)):
                 await asyncio.sleep(started + (index + 0.5) * interval_s - time.monotonic())
-                await self.write(self.services.restart_one(watched_lists))
+                await self._write(self.services.restart_one(watched_lists))
             await asyncio.sleep(started + seconds - time.monotonic())
             # Guard: the end of the phase resets the counters, so a change that a slow disk delays past it
             # would count as missed. The phase lasts until the change is delivered, or its delivery times out.
-            if not await self._all_delivered():
-                await self._wait_until_delivered()
+            if not await self._changes.all_delivered():
+                await self._changes.wait_until_delivered()
 
         return await self._measure_phase(change)
 
@@ -122,12 +107,12 @@
 
         async def lose() -> None:
             lost.update(self.services.lose_zone(zone))
-            await self.write(lost, zone)
-            await self._wait_until_delivered()
+            await self._write(lost, zone)
+            await self._changes.wait_until_delivered()
 
         async def restore() -> None:
-            await self.write(self.services.restore(lost))
-            await self._wait_until_delivered()
+            await self._write(self.services.restore(lost))
+            await self._changes.wait_until_delivered()
 
         return BurstPhases(await self._measure_phase(lose), await self._measure_phase(restore))
 
@@ -139,35 +124,17 @@
             nonlocal serving_after_s
             await self.server.stop_last()
             await asyncio.sleep(self._timing.downtime_s)
-            await self.write(self.services.restart_one_of_each(sorted(set(self.watches))))
+            await self._write(self.services.restart_one_of_each(sorted(set(self.watches))))
             started_at_s = time.monotonic()
-            self._written_at_s[self.services.serial] = started_at_s
+            self._changes.count_from(self.services.serial, started_at_s)
             serving_after_s = await self.server.start_last(self.services) - started_at_s
-            await self._wait_until_delivered()
+            await self._changes.wait_until_delivered()
 
         phase = await self._measure_phase(restart)
         return RestartPhase(phase, serving_after_s)
 
-    async def write(self, changes: ListChanges, lost_zone: str = "") -> None:
-        """Announce a change to the hollow nodes, then write it at the source."""
-        await self._nodes.expect(ExpectChange(self.services.serial, list(changes), lost_zone))
-        self._written_at_s[self.services.serial] = await self.server.change(changes)
-
-    async def _wait_until_delivered(self) -> None:
-        deadline = time.monotonic() + self._timing.delivery_timeout_s
-        while time.monotonic() < deadline:
-            await asyncio.sleep(DELIVERY_POLL_S)
-            if await self._all_delivered():
-                break
-        await asyncio.sleep(self._timing.settle_s)
-
-    async def _all_delivered(self) -> bool:
-        """Return whether every change of this phase has reached all watches that it concerns."""
-        return all(
-            delivery.delivered >= delivery.due
-            for counters in await self._nodes.read_counters(clear=False)
-            for delivery in counters.changes.values()
-        )
+    async def _write(self, changes: ListChanges, lost_zone: str = "") -> None:
+        await self._changes.write(self.services.serial, changes, lost_zone)
 
     async def _measure_phase(self, action: Callable[[], Awaitable[None]]) -> Phase:
         before, nodes_cpu_s, started = self._usage_by_role(), self._nodes.cpu_seconds(), time.monotonic()
@@ -180,15 +147,8 @@
         nodes_cpu_s = self._nodes.cpu_seconds() - nodes_cpu_s
         counters = await self._nodes.read_counters(clear=True)
         serials = sorted({serial for process_counters in counters for serial in process_counters.changes})
-        deliveries = self._deliveries(serials, counters)
+        deliveries = self._changes.deliveries(serials, counters)
         return Phase(seconds, cpu_s, nodes_cpu_s, counters, len(serials), deliveries)
 
-    def _deliveries(self, serials: Sequence[int], counters: Sequence[NodeCounters]) -> ChangeDeliveries:
-        deliveries = ChangeDeliveries()
-        for serial in serials:
-            parts = [process_counters.changes[serial] for process_counters in counters]
-            deliveries.add_change(self._written_at_s[serial], parts)
-        return deliveries
-
     def _usage_by_role(self) -> dict[str, ProcessUsage]:
         return {role: process.usage() for role, process in self.server.roles.items()}
--- a/benchmarks/models/chain_records.py
+++ b/benchmarks/models/chain_records.py
@@ -11,7 +11,7 @@
 from benchmarks.models.chain import ChainMetrics, simulate_chain
 from benchmarks.models.chain_scenario import ChainScenario, Fault
 from benchmarks.support.records import Record, Row
-from benchmarks.support.regression import Slope, fit_columns
+from benchmarks.support.regression import Slope, regress_columns
 from loadbalancer.events import AttemptResult
 
 FAULT_FRACTION = 0.1
@@ -129,7 +129,7 @@
     for record in records:
         rows_by_case.setdefault(record.case, []).append(record.row())
     return {
-        f"{figure} over depth: {case}": fit_columns(rows, "depth", figure)
+        f"{figure} over depth: {case}": regress_columns(rows, "depth", figure)
         for case, rows in rows_by_case.items()
         for figure in SLOPE_FIGURES
     }
--- a/benchmarks/models/fleet_records.py
+++ b/benchmarks/models/fleet_records.py
@@ -14,7 +14,7 @@
 from benchmarks.models.fleet_scenario import Scenario
 from benchmarks.models.pooled_fleet import PooledFleetSimulation
 from benchmarks.support.records import Record, Row
-from benchmarks.support.regression import Slope, fit_columns
+from benchmarks.support.regression import Slope, regress_columns
 from loadbalancer.proxy.connection_pool import IDLE_TIMEOUT_FRACTION
 
 LOAD = 0.5  # fraction of the backends' capacity
@@ -185,7 +185,7 @@
 def fleet_slopes(records: Sequence[FleetRecord]) -> dict[str, Slope]:
     """Return lines over the number of nodes, which equals the number of backends."""
     rows = [record.row() for record in records]
-    slopes = {f"{name} over nodes": _fit_measured(rows, name) for name in SLOPE_FIGURES}
+    slopes = {f"{name} over nodes": _regress_measured(rows, name) for name in SLOPE_FIGURES}
     for timeout_s in IDLE_TIMEOUTS_S:
         name = f"held a node {timeout_s:.0f}s"
         open_per_node = [
@@ -193,9 +193,9 @@
             for record in records
             if (mean_open := record.connections[timeout_s].mean_open) is not None
         ]
-        slopes[f"{name} over nodes"] = fit_columns(open_per_node, "nodes", name)
+        slopes[f"{name} over nodes"] = regress_columns(open_per_node, "nodes", name)
     return slopes
 
 
-def _fit_measured(rows: Sequence[Row], name: str) -> Slope:
-    return fit_columns([row for row in rows if row[name] is not None], "nodes", name)
+def _regress_measured(rows: Sequence[Row], name: str) -> Slope:
+    return regress_columns([row for row in rows if row[name] is not None], "nodes", name)
--- a/benchmarks/support/proxy_process.py
+++ b/benchmarks/support/proxy_process.py
@@ -102,7 +102,7 @@
         Args:
             folder: Where the configuration file is written.
             name: The file's name, without its suffix.
-            configuration: The file's content.
+            configuration: Its content.
             module: The module that runs as the proxy.
             environment: Variables added to this process's own.
 
@@ -111,8 +111,7 @@
         """
         path = folder / f"{name}.json"
         path.write_bytes(configuration)
-        variables = os.environ | (environment or {}) | {"PROXY_CONFIG": str(path)}
-        proxy = cls(await _run_module(module, variables))
+        proxy = cls(await _run_module(module, path, environment or {}))
         try:
             await proxy.wait_until_ready()
         except BaseException:
@@ -153,11 +152,13 @@
                 self._listening.set()
 
 
-async def _run_module(module: str, environment: dict[str, str]) -> asyncio.subprocess.Process:
+async def _run_module(
+    module: str, configuration: Path, environment: dict[str, str]
+) -> asyncio.subprocess.Process:
     return await asyncio.create_subprocess_exec(
         *(sys.executable, "-m", module),
         cwd=ROOT,
-        env=environment,
+        env=os.environ | environment | {"PROXY_CONFIG": str(configuration)},
         stdin=asyncio.subprocess.DEVNULL,
         stderr=asyncio.subprocess.PIPE,
     )
--- a/benchmarks/support/regression.py
+++ b/benchmarks/support/regression.py
@@ -66,7 +66,7 @@
     return Slope(base, per_unit, error, 1.0 - residual / total if total else 1.0)
 
 
-def fit_columns(rows: Sequence[Row], x: str, y: str) -> Slope:
+def regress_columns(rows: Sequence[Row], x: str, y: str) -> Slope:
     """Return the least-squares line of column `y` over column `x`.
 
     Raises:
--- a/tests/benchmarks/test_hollow_run.py
+++ b/tests/benchmarks/test_hollow_run.py
@@ -11,8 +11,9 @@
 from benchmarks.hollow.messages import ChangeDelivery, NodeCounters
 from benchmarks.hollow.node_processes import NodeProcesses
 from benchmarks.hollow.plan import Plan
-from benchmarks.hollow.run import HollowRun, RunTiming
+from benchmarks.hollow.run import HollowRun
 from benchmarks.hollow.servers_under_test import PlainServer, ServerKind
+from benchmarks.hollow.written_changes import RunTiming
 
 
 @pytest.mark.parametrize(
