--- a/tests/proxy/test_policy_events.py
+++ b/tests/proxy/test_policy_events.py
@@ -20,7 +20,7 @@
     send_request,
     until,
 )
-from tests.support.proxy import answering
+from tests.support.proxy import answering, run_on_skipping_loop
 
 
 @pytest.fixture
@@ -63,17 +63,6 @@
     assert [event.request_id for event in scripted.events_of(ClientDisconnected)] == ["q1"]
 
 
-class SkippingEventLoop(asyncio.SelectorEventLoop):
-    """An event loop whose clock a test advances."""
-
-    def __init__(self):
-        self.skipped_s = 0.0
-        super().__init__()
-
-    def time(self):
-        return super().time() + self.skipped_s
-
-
 BATCH_SIZE = 8
 
 
@@ -84,14 +73,14 @@
     requests = [request("read", f"q{seen + index}") for index in range(BATCH_SIZE)]
     responses = asyncio.gather(*(send_request(proxy, data) for data in requests))
     await until(lambda: len(backend.seen) == seen + BATCH_SIZE)
-    proxy.loop.skipped_s += latency_s
+    proxy.loop.skip(latency_s)
     backend.release.set()
     assert [response.status for response in await responses] == [200] * BATCH_SIZE
     proxy.policy_runner.notify(TimerFired(PERIOD_TIMER))
     proxy.policy_runner.cancel_timer(PERIOD_TIMER)  # the next period ends when the test says so
 
 
-async def move_cursor_right_and_back():
+async def move_cursor_right_and_back(_loop):
     async with running_proxy(backend := StalledBackend()) as proxy:
         proxy.policy_runner.cancel_timer(PERIOD_TIMER)
         for _ in range(3):
@@ -108,5 +97,4 @@
 
 def test_cursor_move_waits_until_its_effect_shows_in_the_latencies():
     """Otherwise every period moves right on responses from before, and sustainable load is rejected."""
-    with asyncio.Runner(loop_factory=SkippingEventLoop) as runner:
-        runner.run(move_cursor_right_and_back())
+    run_on_skipping_loop(move_cursor_right_and_back)
--- a/tests/proxy/test_upstream_attempt.py
+++ b/tests/proxy/test_upstream_attempt.py
@@ -16,6 +16,7 @@
     answering,
     attempt_result,
     open_pool,
+    run_on_skipping_loop,
     unaccepting_listener,
 )
 
@@ -75,15 +76,23 @@
     await until(lambda: not pool.size)
 
 
-async def test_missing_response_is_a_timeout_and_closes_the_connection(pool, listener):
-    pool.add("s", listener.getsockname())
-    assert await attempt_result(pool, timeout_s=0.2) is AttemptResult.TIMEOUT
-    accepted, _ = listener.accept()
-    with accepted:
-        assert accepted.recv(1000) == REQUEST_BYTES
-        await asyncio.sleep(0)  # asyncio closes the socket in the loop's next turn
-        accepted.settimeout(20)
-        assert accepted.recv(1000) == b""
+async def time_out_without_a_response(loop):
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        listener.setblocking(False)
+        async with open_pool() as pool:
+            pool.add("s", listener.getsockname())
+            result = asyncio.create_task(attempt_result(pool, timeout_s=60.0))
+            accepted, _ = await loop.sock_accept(listener)
+            with accepted:
+                accepted.setblocking(False)
+                assert await loop.sock_recv(accepted, 1000) == REQUEST_BYTES
+                loop.skip(60.0)
+                assert await result is AttemptResult.TIMEOUT
+                assert await loop.sock_recv(accepted, 1000) == b""
+
+
+def test_missing_response_is_a_timeout_and_closes_the_connection():
+    run_on_skipping_loop(time_out_without_a_response)
 
 
 async def test_reset_before_the_last_byte_is_written_is_connect_failed(pool, listener):
--- a/tests/support/proxy.py
+++ b/tests/support/proxy.py
@@ -5,7 +5,8 @@
 import asyncio
 import contextlib
 import socket
-from collections.abc import AsyncIterator, Callable, Iterator
+from collections.abc import AsyncIterator, Callable, Coroutine, Iterator
+from typing import Any
 
 from loadbalancer.actions import Action, Fail, Send
 from loadbalancer.events import AttemptOutcome, AttemptResult, Event, IncomingRequest
@@ -38,6 +39,30 @@
         self._on_result(result, response)
 
 
+class SkippingEventLoop(asyncio.SelectorEventLoop):
+    """An event loop whose clock a test advances; its timers fire accordingly."""
+
+    def __init__(self) -> None:
+        self._skipped_s = 0.0
+        super().__init__()
+
+    def time(self) -> float:
+        """The event loop's time, in seconds."""
+        return super().time() + self._skipped_s
+
+    def skip(self, seconds: float) -> None:
+        """Advance the clock."""
+        self._skipped_s += seconds
+
+
+def run_on_skipping_loop(main: Callable[[SkippingEventLoop], Coroutine[Any, Any, None]]) -> None:
+    """Run a coroutine function on a new event loop, which it gets as its argument."""
+    with asyncio.Runner(loop_factory=SkippingEventLoop) as runner:
+        loop = runner.get_loop()
+        assert isinstance(loop, SkippingEventLoop)
+        runner.run(main(loop))
+
+
 def start_attempt(
     pool: ConnectionPool,
     endpoint: str,
