--- a/tests/proxy/test_watch_races.py
+++ b/tests/proxy/test_watch_races.py
@@ -19,8 +19,10 @@
 from loadbalancer.events import UpdateKind
 from loadbalancer.http.addresses import Address
 from loadbalancer.proxy.proxy import Proxy
-from tests.support.loopback import config, endpoint_list_response, reply, running_proxy, until
+from tests.support.loopback import running_proxy, until
+from tests.support.messages import endpoint_list_response, reply
 from tests.support.model_time import ModelLoop, in_model_time
+from tests.support.proxy_config import config
 
 PUSH = {"registryMode": "push"}
 READY_ENDPOINT = ("127.0.0.1:9", "Ready")
@@ -31,25 +33,12 @@
 class Poll:
     """A watch request that waits for its response."""
 
-    query: str  # of its path
+    revision: int  # that the proxy has
+    wait_s: float  # the longest time that discovery may wait before it responds
     address: Address
     transport: asyncio.Transport
     at_s: float  # in model time
 
-    @property
-    def revision(self) -> int:
-        """The revision that the proxy has."""
-        return int(self._parameters["since"])
-
-    @property
-    def wait_s(self) -> float:
-        """The longest time that discovery may wait before it responds."""
-        return int(self._parameters["timeout_ms"]) / 1000.0
-
-    @property
-    def _parameters(self) -> dict[str, str]:
-        return dict(parse_qsl(self.query, strict_parsing=True))
-
     def respond(self, revision: int) -> None:
         """Respond with a complete list, of the one endpoint that is named after the revision."""
         self.transport.write(endpoint_list_response(revision, True, **{f"s{revision}": READY_ENDPOINT}))
@@ -67,8 +56,9 @@
         self._address = address
 
     def on_request(self, transport: asyncio.Transport, text: str) -> None:
-        query = text.split()[1].partition("?")[2]
-        self._polls.put_nowait(Poll(query, self._address, transport, self._loop.time()))
+        query = dict(parse_qsl(text.split()[1].partition("?")[2], strict_parsing=True))
+        revision, wait_s = int(query["since"]), int(query["timeout_ms"]) / 1000.0
+        self._polls.put_nowait(Poll(revision, wait_s, self._address, transport, self._loop.time()))
 
     @property
     def has_poll(self) -> bool:
@@ -147,9 +137,10 @@
 async def test_first_poll_of_a_connection_waits_no_longer_than_a_second():
     async with following_watch() as (_, discovery):
         poll = await discovery.next_poll()
-        assert poll.query == "since=1&timeout_ms=1000"
+        assert (poll.revision, poll.wait_s) == (1, 1.0)
         poll.transport.write(endpoint_list_response(7, False))
-        assert (await discovery.next_poll()).query == "since=7&timeout_ms=3000"
+        poll = await discovery.next_poll()
+        assert (poll.revision, poll.wait_s) == (7, 3.0)
 
 
 async def assert_no_other_watch(discovery: ManualDiscovery) -> None:
@@ -187,7 +178,7 @@
         silent = await discovery.next_poll()
         proxy.reconfigure(config("{}:{}".format(*silent.address)))
         poll = await discovery.next_poll()
-        assert (poll.query, poll.transport is silent.transport) == ("since=7&timeout_ms=1000", False)
+        assert (poll.revision, poll.wait_s, poll.transport is silent.transport) == (7, 1.0, False)
         await assert_no_other_watch(discovery)
         silent.respond(8)
         poll.respond(9)
