--- a/tests/proxy/test_attempt_races.py
+++ b/tests/proxy/test_attempt_races.py
@@ -58,6 +58,15 @@
         next_message.cancel()
 
 
+async def start_gated_request(proxy: Proxy, at_once: int = 0) -> tuple[GatedConnects, HttpClient]:
+    """Send the request `left`, and wait until an attempt connects after the first `at_once` attempts."""
+    gated = GatedConnects(proxy, at_once)
+    client = await HttpClient.to(proxy)
+    client.writer.write(request("post", "left"))
+    await until(lambda: gated.connects > at_once)
+    return gated, client
+
+
 @CAN_CANCEL
 @pytest.mark.parametrize(
     "disconnect",
@@ -69,10 +78,7 @@
 async def test_client_that_disconnects_while_its_attempt_connects_is_not_forwarded(can_cancel, disconnect):
     server = LoopbackServer()
     async with running_proxy(server, bounds={"cancel": can_cancel}) as proxy:
-        gated = GatedConnects(proxy)
-        client = await HttpClient.to(proxy)
-        client.writer.write(request("post", "left"))
-        await until(lambda: gated.connects)
+        gated, client = await start_gated_request(proxy)
         disconnect(client)
         await until(lambda: proxy.requests.open_count == 0)
         gated.gate.set()
@@ -88,10 +94,7 @@
     full, other = LoopbackServer(always(reply(503, Srv_Declined="1"))), LoopbackServer()
     async with running_proxy(full, other, bounds={"cancel": can_cancel}) as proxy:
         scripted = script_policy(proxy, policy_sending_to("s0", "s1"))
-        client = await HttpClient.to(proxy)
-        gated = GatedConnects(proxy, at_once=1)
-        client.writer.write(request("post", "left"))
-        await until(lambda: gated.connects == 2)
+        gated, client = await start_gated_request(proxy, at_once=1)
         client.writer.close()
         await until(lambda: scripted.events_of(ClientDisconnected))
         gated.gate.set()
@@ -157,10 +160,7 @@
 async def test_client_that_disconnects_as_its_attempt_has_connected_is_not_forwarded():
     server = LoopbackServer()
     async with running_proxy(server, bounds={"cancel": False}) as proxy:
-        gated = GatedConnects(proxy)
-        client = await HttpClient.to(proxy)
-        client.writer.write(request("post", "left"))
-        await until(lambda: gated.connects)
+        gated, _ = await start_gated_request(proxy)
         connect = gated.connect_now
 
         async def connect_and_disconnect(address):
--- a/tests/proxy/test_descriptor_limits.py
+++ b/tests/proxy/test_descriptor_limits.py
@@ -34,7 +34,7 @@
 from tests.support.proxy_config import config_document
 
 PARTIAL_REQUEST = b"GET /read/1 HTTP/1.1\r\nReq-Id: half\r\n"
-BURST_SIZE = 500  # idle clients that connect between two turns of the proxy's loop: the kernel takes 1024
+BURST_SIZE = 500  # idle clients that connect between two turns of the proxy's loop: the kernel queues 1024
 BURSTS = 3
 RECONNECTING_CLIENTS = 150  # more than the smallest limit allows
 
--- a/tests/proxy/test_graceful_shutdown.py
+++ b/tests/proxy/test_graceful_shutdown.py
@@ -128,7 +128,6 @@
             socket.create_connection(address)
         await until(lambda: proxy.statistics.responses[200] == 30)
         for client in burst:
-            client.settimeout(20)
             assert client.recv(12) == b"HTTP/1.1 200"
 
 
--- a/tests/support/disconnects.py
+++ b/tests/support/disconnects.py
@@ -15,6 +15,8 @@
 from tests.support.loopback import HttpClient, LoopbackServer, send_request, until
 from tests.support.messages import Message, reply, request
 
+ESTABLISHED, FIN_WAIT_1 = 1, 4  # states of Linux's TCP
+
 WAYS_TO_DISCONNECT = (
     "by closing",
     "by ending its sending",
@@ -58,13 +60,8 @@
 
     def _wait_until_end_of_stream_arrived(self) -> None:
         """Wait until the proxy's kernel has acknowledged it, which takes time on a busy machine."""
-        established, fin_wait_1 = 1, 4
-        for _ in range(20_000):
-            state = self._socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0]
-            if state not in (established, fin_wait_1):
-                return
+        while self._socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] in (ESTABLISHED, FIN_WAIT_1):
             time.sleep(0.001)
-        raise TimeoutError("the end of stream has not arrived")
 
     def close(self) -> None:
         self._socket.close()
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -37,7 +37,7 @@
     "until",
 ]
 
-WAIT_LIMIT_S = 20.0
+WAIT_LIMIT_S = 20.0  # below the time-out of a test, so that the failure shows which condition stayed false
 POLL_INTERVAL_S = 0.005
 
 
--- a/tests/support/model_time.py
+++ b/tests/support/model_time.py
@@ -21,7 +21,7 @@
 _Result = TypeVar("_Result")
 
 ENDPOINT = ("127.0.0.1:9", "Ready")
-SYN_INTERVALS_S = (1.0, 2.0, 4.0, 8.0, 16.0)  # between one SYN and the next, while none is answered
+SYN_INTERVALS_S = (1.0, 2.0, 4.0, 8.0, 16.0)  # between one SYN and the next, until one is acknowledged
 FAULTS = ("silent", "half", "unreachable", "refused", "reset", "unreadable", "any of these")
 
 
