--- a/loadbalancer/discovery_server/endpoint_store.py
+++ b/loadbalancer/discovery_server/endpoint_store.py
@@ -17,7 +17,7 @@
     tombstone,
 )
 from loadbalancer.discovery_server.response_cache import ResponseCache
-from loadbalancer.discovery_server.revisions import RevisionClock, is_plausible
+from loadbalancer.discovery_server.revisions import STARTUP_LEAD_TICKS, RevisionClock, is_plausible
 
 
 class UpdateError(ValueError):
@@ -117,8 +117,8 @@
         """Whether a client holds a newer revision: another server's, or one that this disk has lost."""
         return revision > self.revision and is_plausible(revision, now_ms)
 
-    def snapshot(self, prepared: ChangeSet | None = None) -> Snapshot:
-        """All of the list, with a prepared change set as if it were committed."""
+    def snapshot(self, prepared: ChangeSet | None = None, lead_ticks: int = STARTUP_LEAD_TICKS) -> Snapshot:
+        """All of the list, with a prepared change set as if it were committed, and with this lead."""
         records = self.records
         change_sets = self._change_log.change_sets
         revision = self.revision
@@ -133,13 +133,19 @@
             else:
                 base_revision = revision
         return Snapshot(
-            self.name, self._clock.tag, revision, tuple(records.values()), base_revision, change_sets
+            self.name,
+            self._clock.tag,
+            revision,
+            tuple(records.values()),
+            base_revision,
+            change_sets,
+            lead_ticks,
         )
 
-    def restore(self, snapshot: Snapshot) -> None:
+    def restore(self, snapshot: Snapshot, now_ms: float) -> None:
         """Continue from what an earlier process stored. Only before the first commit."""
         assert not self.initialized, "a list is restored before its first commit"
-        self._clock.resume_after(snapshot.revision)
+        self._clock.resume_after(snapshot.revision, snapshot.lead_ticks, now_ms)
         for record in snapshot.records:
             self._apply(record)
         self._change_log.restore(snapshot.change_sets, snapshot.base_revision)
--- a/loadbalancer/discovery_server/records.py
+++ b/loadbalancer/discovery_server/records.py
@@ -44,7 +44,8 @@
 class Snapshot(
     msgspec.Struct,
     frozen=True,
-    rename={"records": "rows", "base_revision": "base", "change_sets": "steps"},
+    omit_defaults=True,
+    rename={"records": "rows", "base_revision": "base", "change_sets": "steps", "lead_ticks": "lead"},
 ):
     """All of an endpoint list that a restart has to find again.
 
@@ -57,6 +58,8 @@
         records: The endpoints that are listed at this revision, without tombstones.
         base_revision: The revision before the first of the change sets.
         change_sets: The change log, oldest first.
+        lead_ticks: How far ahead of its clock the next process has to begin, in ticks; 0 in the files of
+            versions that did not store it.
     """
 
     name: str
@@ -65,6 +68,7 @@
     records: tuple[EndpointRecord, ...]
     base_revision: int
     change_sets: tuple[ChangeSet, ...]
+    lead_ticks: int = 0
 
 
 def record_from_entry(entry: dict[str, object]) -> EndpointRecord:
--- a/loadbalancer/discovery_server/revisions.py
+++ b/loadbalancer/discovery_server/revisions.py
@@ -5,8 +5,8 @@
 therefore give different revisions at the same moment, and a client that changes servers is recognised by the
 tag. A process starts a minute ahead of the wall clock: while a list takes fewer than 100 change sets a
 second, every revision of one process stays below those of the next, even if nothing is left on the disk.
-A client can carry another server's revision that is further ahead than that; a revision above it is used
-only once it is on the disk, from which the next process resumes.
+A client can carry another server's revision that is further ahead than that. A revision above it is used
+only once the snapshots on the disk hold a longer lead, with which the next process starts.
 """
 
 from __future__ import annotations
@@ -34,12 +34,9 @@
     return tick_count(revision) <= clock_ticks(now_ms) + MAX_TRUSTED_LEAD_TICKS
 
 
-def is_below_next_start(revision: int, now_ms: float, stored_revision: int) -> bool:
-    """Whether a later process begins above this revision, if this one ends now with that one on its disk."""
-    first_count = clock_ticks(now_ms) + STARTUP_LEAD_TICKS
-    if stored_revision:
-        first_count = max(first_count, tick_count(stored_revision) + REVISION_GAP_TICKS)
-    return tick_count(revision) < first_count
+def required_lead(revision: int, now_ms: float) -> int:
+    """The lead over the clock, in ticks, with which a process that starts now begins above this revision."""
+    return max(STARTUP_LEAD_TICKS, tick_count(revision) + 1 - clock_ticks(now_ms))
 
 
 class RevisionClock:
@@ -71,7 +68,13 @@
             count = tick_count(minimum_revision) + REVISION_GAP_TICKS
         return count << TAG_BITS | self.tag
 
-    def resume_after(self, revision: int) -> None:
-        """Continue from a stored revision, which may not have been the last one issued."""
-        # Guard: what followed the stored revision had been sent under the next ones.
-        self._min_count = max(self._min_count, tick_count(revision) + REVISION_GAP_TICKS)
+    def resume_after(self, revision: int, lead_ticks: int, now_ms: float) -> None:
+        """Continue from a stored revision, which may not have been the last one issued, and its lead.
+
+        A lead of 0 is that of a snapshot which an earlier version wrote.
+        """
+        self._min_count = max(self._min_count, clock_ticks(now_ms) + lead_ticks)
+        # Guard: revisions above the stored one were used without the disk. A clock that went back, or a
+        # snapshot without a lead, doesn't show how many.
+        if not lead_ticks or self._min_count <= tick_count(revision):
+            self._min_count = max(self._min_count, tick_count(revision) + REVISION_GAP_TICKS)
--- a/loadbalancer/discovery_server/server.py
+++ b/loadbalancer/discovery_server/server.py
@@ -155,7 +155,7 @@
         tag = self._choose_tag(snapshot)
         store = EndpointStore(name, tag, self._config.list_limits, self.clock_ms())
         if snapshot is not None:
-            store.restore(snapshot)
+            store.restore(snapshot, self.clock_ms())
             self._log.info("snapshot loaded", list=name, revision=store.revision, entries=len(store.records))
         return store
 
--- a/loadbalancer/discovery_server/snapshot_writer.py
+++ b/loadbalancer/discovery_server/snapshot_writer.py
@@ -8,6 +8,7 @@
 from structlog.stdlib import BoundLogger
 
 from loadbalancer.discovery_server.records import Snapshot
+from loadbalancer.discovery_server.revisions import STARTUP_LEAD_TICKS
 from loadbalancer.discovery_server.snapshot_store import SnapshotStore
 
 WRITE_TIMEOUT_S = 1.0  # for which a change set waits for the disk
@@ -19,14 +20,15 @@
 
     Attributes:
         outdated: Whether the disk lacks the last snapshot that was to be written.
-        stored_revision: The revision of the last snapshot that this process has on the disk; 0 before the
-            first one.
+        lead_ticks: The lead over the clock with which the next process begins at the least, even if it finds
+            the newest snapshot damaged.
     """
 
     def __init__(self, store: SnapshotStore, executor: Executor, log: BoundLogger) -> None:
         """Write to this store, in a thread of this executor."""
         self.outdated = False
-        self.stored_revision = 0
+        self.lead_ticks = STARTUP_LEAD_TICKS
+        self._newest_lead_ticks = STARTUP_LEAD_TICKS
         self._store = store
         self._executor = executor
         self._log = log
@@ -40,6 +42,10 @@
         if self._write is not None and not self._write.done():
             self.outdated = True
             return
+        # A write that fails may still have replaced the newest snapshot.
+        newest_lead_ticks = self._newest_lead_ticks
+        self.lead_ticks = min(self.lead_ticks, snapshot.lead_ticks)
+        self._newest_lead_ticks = min(newest_lead_ticks, snapshot.lead_ticks)
         loop = asyncio.get_running_loop()
         self._write = loop.run_in_executor(self._executor, self._store.write, snapshot)
         self._write.add_done_callback(_retrieve_exception)
@@ -47,7 +53,8 @@
         error = self._write.exception() if done else TimeoutError("the disk takes too long")
         self.outdated = error is not None
         if error is None:
-            self.stored_revision = snapshot.revision
+            self.lead_ticks = min(newest_lead_ticks, snapshot.lead_ticks)
+            self._newest_lead_ticks = snapshot.lead_ticks
         else:
             self._log.error("snapshot write failed", list=self._store.name, error=str(error))
 
--- a/loadbalancer/discovery_server/update_pipeline.py
+++ b/loadbalancer/discovery_server/update_pipeline.py
@@ -9,19 +9,19 @@
 
 from loadbalancer.discovery_server.endpoint_store import EndpointStore, UpdateError
 from loadbalancer.discovery_server.records import ChangeSet, EndpointUpdate
-from loadbalancer.discovery_server.revisions import is_below_next_start
+from loadbalancer.discovery_server.revisions import required_lead
 from loadbalancer.discovery_server.snapshot_writer import SnapshotWriter
 
 
 class RevisionNotStoredError(Exception):
-    """A client's revision is so far ahead that one above it has to be on the disk before it is used.
+    """A client's revision is so far ahead that the disk has to be written before one above it is used.
 
     Attributes:
         revision: The client's revision.
     """
 
     def __init__(self, revision: int) -> None:
-        super().__init__(f"no revision above {revision} is on the disk yet")
+        super().__init__(f"the snapshots don't let the next process begin above {revision} yet")
         self.revision = revision
 
 
@@ -54,7 +54,8 @@
         self._on_change = on_change
         self._log = log
         self._pending: list[EndpointUpdate] = []
-        self._minimum_revision = 0  # a client's, above which the list's has to go
+        self._reserved_revision = 0  # covered by the lead of each snapshot; used once they are on the disk
+        self._reservation_pending = False
         self._task: asyncio.Task[None] | None = None
 
     def submit(self, update: EndpointUpdate) -> None:
@@ -83,7 +84,7 @@
             await self._task
         await self.writer.wait_for_write()
         if self.writer.outdated and self.store.initialized:
-            await self.writer.write(self.store.snapshot())
+            await self._write()
 
     def retry_failed_write(self) -> None:
         """Try the disk again if it doesn't have the current list."""
@@ -92,11 +93,12 @@
 
     def _advance_past(self, revision: int, now_ms: float) -> None:
         # Guard: after a restart, a revision that is not on the disk could be issued again for another state.
-        # It is therefore used at once only if every later process begins above it; otherwise it is stored
-        # first. Trade-off: the client has to repeat its request.
+        # It is therefore used only if every later process begins above it; otherwise the lead on the disk is
+        # raised first. Trade-off: the client has to repeat its request, until the disk works if it fails.
         next_revision = self.store.next_revision(now_ms, revision)
-        if not is_below_next_start(next_revision, now_ms, self.writer.stored_revision):
-            self._minimum_revision = max(self._minimum_revision, revision)
+        if required_lead(next_revision, now_ms) > self.writer.lead_ticks:
+            self._reserved_revision = max(self._reserved_revision, next_revision)
+            self._reservation_pending = True
             self._start()
             raise RevisionNotStoredError(revision)
         change_set = self.store.prepare((), now_ms, revision)
@@ -111,12 +113,15 @@
             self._task = asyncio.create_task(self._run())
 
     async def _retry_write(self) -> None:
-        await self.writer.write(self.store.snapshot())
+        await self._write()
         await self._run()
 
     async def _run(self) -> None:
         try:
-            while self._pending or self._minimum_revision > self.store.revision:
+            while self._pending or self._reservation_pending:
+                if self._reservation_pending:
+                    self._reservation_pending = False
+                    await self._write()
                 updates, self._pending = self._pending, []
                 await self._apply(updates)
         finally:
@@ -124,18 +129,30 @@
 
     async def _apply(self, updates: list[EndpointUpdate]) -> None:
         try:
-            change_set = self.store.prepare(updates, self._clock_ms(), self._minimum_revision)
+            change_set = self.store.prepare(updates, self._clock_ms())
         except UpdateError as error:
             self._reject(error)
             return
         if change_set is None:
             return
-        await self.writer.write(self.store.snapshot(change_set))
+        await self._write(change_set)
         # The revision may have gone past a client's from another server meanwhile.
         if change_set.revision <= self.store.revision:
             change_set = self.store.prepare(updates, self._clock_ms()) or change_set
         self._commit(change_set)
 
+    async def _write(self, prepared: ChangeSet | None = None) -> None:
+        """Write a snapshot, with a prepared change set as if it were committed."""
+        revision = prepared.revision if prepared is not None else self.store.revision
+        lead_ticks = required_lead(max(revision, self._reserved_revision), self._clock_ms())
+        snapshot = self.store.snapshot(prepared, lead_ticks)
+        previous_lead_ticks = self.writer.lead_ticks
+        await self.writer.write(snapshot)
+        # Guard: if the newest snapshot is damaged, the next process loads the previous one, with a lead that
+        # doesn't cover the revision. Once written twice, both have it.
+        if lead_ticks > previous_lead_ticks and not self.writer.outdated:
+            await self.writer.write(snapshot)
+
     def _commit(self, change_set: ChangeSet) -> None:
         self.store.commit(change_set)
         self._log.info(
