--- a/loadbalancer/discovery_server/served_list.py
+++ b/loadbalancer/discovery_server/served_list.py
@@ -86,7 +86,7 @@
         tag = self._choose_tag(snapshot)
         store = EndpointStore(name, tag, self._shared.config.list_limits, self._shared.clock_ms())
         if snapshot is not None:
-            store.restore(snapshot)
+            store.restore(snapshot, self._shared.clock_ms())
             log.info("snapshot loaded", list=name, revision=store.revision, entries=len(store.records))
         return store
 
