--- a/loadbalancer/discovery_server/frontend.py
+++ b/loadbalancer/discovery_server/frontend.py
@@ -25,14 +25,13 @@
     """Serves any number of lists within one connection limit. Must be created within a running event loop.
 
     Attributes:
-        unread: The responses that clients have not read yet.
         rejected_requests: Requests with a 4xx or 503 response since the start.
     """
 
     def __init__(self, max_connections: int, registry: WatchRegistry, unread: UnreadResponses) -> None:
         """Create a frontend that doesn't listen yet."""
-        self.unread = unread
         self.rejected_requests = 0
+        self._unread = unread
         self._loop = asyncio.get_running_loop()
         self._listener = HttpListener(max_connections, self._on_request)
         self._watches = WatchScheduler(registry, unread)
@@ -56,10 +55,6 @@
         host, port = address
         return await self._listener.listen(host, port, context=pipeline)
 
-    def start(self) -> None:
-        """Start to disconnect clients that don't read."""
-        self.unread.start()
-
     def set_ready(self, *, ready: bool) -> None:
         """Set the response to requests for readiness: 200 if ready, else 503."""
         self._listener.ready = ready
@@ -77,12 +72,11 @@
         await self._wait_for_clients()
 
     def close(self) -> None:
-        """Abort all connections, stop listening and stop all timers."""
+        """Abort all connections, stop listening and cancel all deadlines."""
         for connection in list(self._listener.connections):
             connection.abort()
         self._listener.close()
         self._watches.close()
-        self.unread.close()
 
     async def _wait_for_clients(self) -> None:
         deadline = self._loop.time() + LINGER_TIMEOUT_S
@@ -124,8 +118,8 @@
             self._add_watch(request, pipeline.store, query.since, query.timeout_ms)
 
     def _respond_unless_over_limit(self, request: HttpRequest, body: bytes) -> None:
-        self.unread.enforce_limit()
-        if self.unread.over_limit:
+        self._unread.enforce_limit()
+        if self._unread.over_limit:
             self._reject(request, HTTPStatus.SERVICE_UNAVAILABLE)
         else:
             self._respond(request, body)
@@ -146,4 +140,4 @@
         request.respond(HTTPStatus.OK, body)
         unsent_bytes = request.connection.unsent_bytes
         if unsent_bytes:
-            self.unread.track(request.connection, unsent_bytes, len(body))
+            self._unread.track(request.connection, unsent_bytes, len(body))
--- a/loadbalancer/discovery_server/server.py
+++ b/loadbalancer/discovery_server/server.py
@@ -36,11 +36,9 @@
         self._clock_offset_s = time.time() - self._loop.time()
         limits = config.process_limits
         self._registry = WatchRegistry(limits.max_watches)
-        self._frontend = DiscoveryFrontend(
-            _connection_limit(config, log),
-            self._registry,
-            UnreadResponses(limits.max_unsent_bytes, limits.unread_timeout_ms),
-        )
+        self._unread = UnreadResponses(limits.max_unsent_bytes, limits.unread_timeout_ms)
+        connection_limit = _connection_limit(config, log)
+        self._frontend = DiscoveryFrontend(connection_limit, self._registry, self._unread)
         self._state_directory = StateDirectory(Path(config.state_dir))
         self._executor = ThreadPoolExecutor(SNAPSHOT_THREADS, "snapshot")
         self._rng = SystemRandom() if config.seed is None else Random(config.seed)
@@ -61,7 +59,7 @@
     @property
     def unread(self) -> UnreadResponses:
         """The responses that clients have not read yet."""
-        return self._frontend.unread
+        return self._unread
 
     def statistics(self) -> ServerStatistics:
         """The gauges and counters at this moment."""
@@ -74,7 +72,7 @@
             completed_watches=self._registry.completed,
             encodings=sum(served.store.responses.encodings for served in self._lists),
             rejected_requests=self._frontend.rejected_requests,
-            dropped_clients=self._frontend.unread.dropped_clients,
+            dropped_clients=self._unread.dropped_clients,
             outdated_snapshots=sum(served.pipeline.writer.outdated for served in self._lists),
         )
 
@@ -92,7 +90,7 @@
             address = await self._frontend.serve_list(served.pipeline, listen_address)
             self._addresses[served.config.name] = address
         self._update_readiness()
-        self._frontend.start()
+        self._unread.start()
         for served in self._lists:
             served.follower.start()
         self._maintenance.start()
@@ -111,6 +109,7 @@
         for served in self._lists:
             served.follower.close()
         self._frontend.close()
+        self._unread.close()
         self._maintenance.close()
         self._executor.shutdown(wait=False)
         self._state_directory.unlock()
--- a/tests/discovery_server/cluster.py
+++ b/tests/discovery_server/cluster.py
@@ -1,14 +1,13 @@
-"""A registry, discovery servers and their clients on loopback, in this process or in one of their own."""
+"""A cluster on loopback, in the test's own process: registries, discovery servers and their clients."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
-import subprocess
-import sys
-from collections.abc import AsyncIterator, Iterator
+import socket
+from collections.abc import AsyncIterator, Coroutine
 from pathlib import Path
-from typing import Any, NamedTuple
+from typing import Any, NamedTuple, Self, TypeVar
 
 import orjson
 import structlog
@@ -16,35 +15,55 @@
 from loadbalancer.discovery_server.config import Config, ListConfig, ListLimits, ProcessLimits
 from loadbalancer.discovery_server.server import DiscoveryServer
 from loadbalancer.http.addresses import Address
-from tests.support.loopback import LoopbackServer, Message, read_message, reply, targets, until
+from tests.support.loopback import (
+    LoopbackServer,
+    Message,
+    Script,
+    close_writer,
+    read_message,
+    reply,
+    targets,
+    until,
+)
 
-ROOT = Path(__file__).parents[2]
 LIST_NAME = "s"
 HOSTS = "/discovery/hosts"
 WATCH_TIMEOUT_MS = 60_000
-PROCESS_EXIT_S = 20
+ENDPOINT = ("127.0.0.1:9", "Ready")
+
+_Result = TypeVar("_Result")
+
+
+def list_reply(revision: int, *uids: str, complete: bool = True) -> bytes:
+    """A response with an endpoint list of ready endpoints."""
+    entries = targets(**dict.fromkeys(uids, ENDPOINT))
+    return reply(200, orjson.dumps({"rev": revision, "all": complete, "targets": entries}))
 
 
 class Registry(LoopbackServer):
-    """Answers watches as the protocol says, always with the complete list."""
+    """Responds to watches as the protocol says, always with the complete list."""
 
-    def __init__(self, **states: tuple[str, str]) -> None:
+    def __init__(self, *uids: str) -> None:
         super().__init__(self.respond)
-        self.rev, self.states = 1, states
+        self.revision = 1
+        self._uids = uids
         self._changed = asyncio.Event()
 
-    def set(self, **states: tuple[str, str]) -> None:
-        self.rev, self.states = self.rev + 1, states
+    def set_endpoints(self, *uids: str, revision: int | None = None) -> None:
+        """Change the list; the revision goes up by one unless it is given."""
+        self.revision = self.revision + 1 if revision is None else revision
+        self._uids = uids
         self._changed.set()
         self._changed = asyncio.Event()
 
     async def respond(self, message: Message) -> bytes:
+        """The response to a request: at once, or after the next change for a client that is up to date."""
         query = dict(part.split("=") for part in message.first[1].partition("?")[2].split("&") if part)
-        if query.get("since") == str(self.rev):
+        if query.get("since") == str(self.revision):
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(int(query["timeout_ms"]) / 1000.0):
                     await self._changed.wait()
-        return reply(200, orjson.dumps({"rev": self.rev, "all": True, "targets": targets(**self.states)}))
+        return list_reply(self.revision, *self._uids)
 
 
 class ListResponse(NamedTuple):
@@ -56,56 +75,33 @@
 
 
 def list_response(message: Message) -> ListResponse:
+    """The list in a successful response."""
     assert message.status == 200
     document = orjson.loads(message.body)
     uids = [target["uid"] for target in document["targets"]]
     return ListResponse(document["rev"], document["all"], uids)
 
 
-def ready(*uids: str) -> dict[str, tuple[str, str]]:
-    """The states of ready endpoints."""
-    return {uid: ("127.0.0.1:9", "Ready") for uid in uids}
-
-
-@contextlib.asynccontextmanager
-async def discovery_server(
-    state_dir: Path, *upstreams: str, list_limits: ListLimits | None = None, **process_limits: Any
-) -> AsyncIterator[DiscoveryServer]:
-    """A discovery server of one list, as long as the context lasts."""
-    config = Config(
-        str(state_dir),
-        (ListConfig(LIST_NAME, "127.0.0.1:0", tuple(upstreams)),),
-        seed=1,
-        list_limits=list_limits or ListLimits(),
-        process_limits=ProcessLimits(**process_limits),
-    )
-    server = DiscoveryServer(config, structlog.get_logger())
-    try:
-        await server.start()
-        yield server
-    finally:
-        server.close()
-
-
-def address_of(server: DiscoveryServer) -> Address:
-    return server.addresses[LIST_NAME]
-
-
-def endpoint_of(server: DiscoveryServer) -> str:
-    host, port = address_of(server)
-    return f"{host}:{port}"
-
-
 class Client:
-    """A client's connection to a discovery server."""
+    """A client's connection to a discovery server; a context manager that closes it."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.reader, self.writer = reader, writer
+        self.reader = reader
+        self.writer = writer
 
     @classmethod
-    async def connect(cls, address: Address) -> Client:
+    async def connect(cls, address: Address) -> Self:
         return cls(*await asyncio.open_connection(*address))
 
+    async def __aenter__(self) -> Self:
+        return self
+
+    async def __aexit__(self, *_error: object) -> None:
+        await self.aclose()
+
+    async def aclose(self) -> None:
+        await close_writer(self.writer)
+
     def send(self, target: str) -> None:
         self.writer.write(f"GET {target} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
 
@@ -126,6 +122,13 @@
         self.send_watch(since, timeout_ms)
         return list_response(await self.read())
 
+    async def status_of(self, request: bytes) -> int | None:
+        """The status of the response to these bytes; None if the connection is closed without one."""
+        self.writer.write(request)
+        with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
+            return (await self.read()).status
+        return None
+
     async def wait_closed(self) -> bool:
         """True once the server has closed the connection; reads and drops what it sends until then."""
         with contextlib.suppress(ConnectionError):
@@ -134,66 +137,114 @@
         return True
 
 
-async def get(server: DiscoveryServer) -> Message:
-    """The response to a request on a connection of its own."""
-    client = await Client.connect(address_of(server))
-    message = await client.get()
-    client.writer.close()
-    return message
-
-
-async def get_list(server: DiscoveryServer) -> ListResponse:
-    return list_response(await get(server))
+def address_of(server: DiscoveryServer) -> Address:
+    return server.addresses[LIST_NAME]
 
 
-async def start_watch(
-    server: DiscoveryServer, since: int, client: Client | None = None
-) -> asyncio.Task[ListResponse]:
-    """A watch that the server has registered; on a connection of its own unless one is given."""
-    client = client or await Client.connect(address_of(server))
-    before = server.statistics().waiting_watches
-    watch = asyncio.create_task(client.watch(since))
-    await until(lambda: server.statistics().waiting_watches == before + 1)
-    return watch
+def endpoint_of(server: DiscoveryServer) -> str:
+    host, port = address_of(server)
+    return f"{host}:{port}"
 
 
-# ------------------------------------------------------------------- processes
+async def get(server: DiscoveryServer, target: str = HOSTS) -> Message:
+    """The response to a request on a connection of its own."""
+    async with await Client.connect(address_of(server)) as client:
+        return await client.get(target)
 
 
-@contextlib.contextmanager
-def running_process(directory: Path, configuration: str) -> Iterator[subprocess.Popen[str]]:
-    """A discovery server's process, which is killed at the end if it still runs."""
-    file = directory / "config.toml"
-    file.write_text(configuration)
-    command = [sys.executable, "-m", "loadbalancer.discovery_server", str(file)]
-    with subprocess.Popen(command, cwd=ROOT, stderr=subprocess.PIPE, text=True) as process:
-        try:
-            yield process
-        finally:
-            process.kill()
+async def get_list(server: DiscoveryServer) -> ListResponse:
+    return list_response(await get(server))
 
 
-def configuration(directory: Path, upstream: str) -> str:
-    return (
-        f'state_dir = "{directory}/state"\n[[lists]]\nname = "{LIST_NAME}"\n'
-        f'listen = "127.0.0.1:0"\nupstreams = ["{upstream}"]\n'
+@contextlib.asynccontextmanager
+async def discovery_server(
+    state_dir: Path, *upstreams: str, list_limits: ListLimits | None = None, **process_limits: Any
+) -> AsyncIterator[DiscoveryServer]:
+    """A discovery server of one list, as long as the context lasts."""
+    config = Config(
+        str(state_dir),
+        (ListConfig(LIST_NAME, "127.0.0.1:0", tuple(upstreams)),),
+        seed=1,
+        list_limits=list_limits or ListLimits(),
+        process_limits=ProcessLimits(**process_limits),
     )
+    server = DiscoveryServer(config, structlog.get_logger())
+    try:
+        await server.start()
+        yield server
+    finally:
+        server.close()
 
 
-async def log_line(process: subprocess.Popen[str], event: str) -> dict[str, Any]:
-    """The next log line of this event."""
-    assert process.stderr is not None
-    while True:
-        line = orjson.loads(await asyncio.to_thread(process.stderr.readline))
-        if line["event"] == event:
-            return line
-
-
-async def listening_address(process: subprocess.Popen[str]) -> Address:
-    """Where the process serves its list, by its log."""
-    host, _, port = (await log_line(process, "listening"))["address"].rpartition(":")
-    return host, int(port)
-
-
-async def exit_code(process: subprocess.Popen[str]) -> int:
-    return await asyncio.to_thread(process.wait, PROCESS_EXIT_S)
+class Cluster:
+    """Starts registries, discovery servers and clients, and closes them, latest first, at its own end."""
+
+    def __init__(self, directory: Path) -> None:
+        self.directory = directory
+        self._stack = contextlib.AsyncExitStack()
+
+    async def __aenter__(self) -> Self:
+        return self
+
+    async def __aexit__(self, *_error: object) -> None:
+        await self._stack.aclose()
+
+    async def registry(self, *uids: str) -> Registry:
+        """A running registry with these endpoints."""
+        return await self._stack.enter_async_context(Registry(*uids))
+
+    async def upstream(self, script: Script) -> LoopbackServer:
+        """A running upstream that responds as its script says."""
+        return await self._stack.enter_async_context(LoopbackServer(script))
+
+    async def server(self, *upstreams: str, name: str = "server", **limits: Any) -> DiscoveryServer:
+        """A running discovery server; its state directory has this name."""
+        context = discovery_server(self.directory / name, *upstreams, **limits)
+        return await self._stack.enter_async_context(context)
+
+    async def ready_server(self, *upstreams: str, name: str = "server", **limits: Any) -> DiscoveryServer:
+        """A running discovery server that has its list."""
+        server = await self.server(*upstreams, name=name, **limits)
+        await until(lambda: server.ready)
+        return server
+
+    async def connect(self, server: DiscoveryServer) -> Client:
+        """A client's connection to this server."""
+        return await self._stack.enter_async_context(await Client.connect(address_of(server)))
+
+    def connect_without_reading(self, server: DiscoveryServer) -> socket.socket:
+        """A socket with a small receive buffer, connected to this server."""
+        connected = self._stack.enter_context(socket.socket())
+        connected.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        connected.connect(address_of(server))
+        connected.setblocking(False)
+        return connected
+
+    async def start_watch(
+        self, server: DiscoveryServer, since: int, client: Client | None = None
+    ) -> asyncio.Task[ListResponse]:
+        """A watch that the server has registered; on a connection of its own unless one is given."""
+        client = client or await self.connect(server)
+        before = server.statistics().waiting_watches
+        watch = self._start_task(client.watch(since))
+        await until(lambda: server.statistics().waiting_watches == before + 1)
+        return watch
+
+    async def start_watches(
+        self, server: DiscoveryServer, since: int, count: int
+    ) -> list[asyncio.Task[ListResponse]]:
+        """Watches that the server has registered, each on a connection of its own."""
+        return [await self.start_watch(server, since) for _ in range(count)]
+
+    def _start_task(self, coroutine: Coroutine[Any, Any, _Result]) -> asyncio.Task[_Result]:
+        task = asyncio.create_task(coroutine)
+        self._stack.push_async_callback(_cancel, task)
+        return task
+
+
+async def _cancel(task: asyncio.Task[Any]) -> None:
+    """End a task; its result or its error is the test's, which awaits it."""
+    task.cancel()
+    await asyncio.wait({task})
+    if not task.cancelled():
+        task.exception()
--- a/tests/discovery_server/test_main.py
+++ b/tests/discovery_server/test_main.py
@@ -2,70 +2,76 @@
 
 from __future__ import annotations
 
-import asyncio
 import fcntl
 
-from tests.discovery_server.cluster import (
-    HOSTS,
-    PROCESS_EXIT_S,
-    Client,
-    ListResponse,
-    Registry,
+import pytest
+
+from tests.discovery_server.cluster import HOSTS, Client, ListResponse, list_response
+from tests.discovery_server.processes import (
     configuration,
     exit_code,
-    list_response,
     listening_address,
-    log_line,
-    ready,
+    log_event,
+    run_until_exit,
     running_process,
 )
 
 
-def test_sigterm_answers_the_watches_and_the_next_process_continues_from_there(tmp_path):
-    async def main():
-        registry = await Registry(**ready("a")).start()
-        settings = configuration(tmp_path, registry.endpoint)
-        with running_process(tmp_path, settings) as process:
-            address = await listening_address(process)
-            await log_line(process, "change committed")
-            client = await Client.connect(address)
+@pytest.fixture
+def settings(tmp_path):
+    """A configuration whose upstream refuses connections."""
+    return configuration(tmp_path, "127.0.0.1:9")
+
+
+async def test_sigterm_completes_the_watches_with_a_last_response(cluster, tmp_path):
+    registry = await cluster.registry("a")
+    with running_process(tmp_path, configuration(tmp_path, registry.endpoint)) as process:
+        address = await listening_address(process)
+        await log_event(process, "change committed")
+        async with await Client.connect(address) as client, await Client.connect(address) as other_client:
+            revision = (await client.get_list()).revision
+            client.send_watch(revision)
+            await other_client.get()  # the server has read the watch before this request
+            process.terminate()
+            message = await client.read()
+            assert (list_response(message), message.headers["connection"]) == ((revision, False, []), "close")
+            assert await exit_code(process) == 0
+
+
+async def test_next_process_continues_from_the_revision_that_clients_hold(cluster, tmp_path):
+    registry = await cluster.registry("a")
+    with running_process(tmp_path, configuration(tmp_path, registry.endpoint)) as process:
+        address = await listening_address(process)
+        await log_event(process, "change committed")
+        async with await Client.connect(address) as client:
             client.send_watch((await client.get_list()).revision)
-            client.send(HOSTS)  # answered after the watch: proves that the watch has been read
-            registry.set(**ready("a", "b"))
+            client.send(HOSTS)  # its response follows the watch's, and proves that the watch was read
+            registry.set_endpoints("a", "b")
             later, _, uids = list_response(await client.read())
             assert uids == ["b"]
             await client.read()
-            client.send_watch(later)
-            await (await Client.connect(address)).get()  # the watch before it has been read by then
-            process.terminate()
-            message = await client.read()
-            assert (list_response(message), message.headers["connection"]) == ((later, False, []), "close")
-            assert await exit_code(process) == 0
-        registry.stop()
+        process.terminate()
+        assert await exit_code(process) == 0
+    await registry.aclose()
 
-        with running_process(tmp_path, settings) as process:
-            client = await Client.connect(await listening_address(process))
+    with running_process(tmp_path, configuration(tmp_path, registry.endpoint)) as process:
+        async with await Client.connect(await listening_address(process)) as client:
             assert await client.get_list() == ListResponse(later, True, ["a", "b"])
-            process.terminate()
-            assert await exit_code(process) == 0
-
-    asyncio.run(main())
+        process.terminate()
+        assert await exit_code(process) == 0
 
 
 def test_bad_configuration_is_one_line_and_exit_code_2(tmp_path):
-    with running_process(tmp_path, "lists = []") as process:
-        _, errors = process.communicate(timeout=PROCESS_EXIT_S)
-    assert process.returncode == 2
-    assert len(errors.splitlines()) == 1
-    assert errors.endswith("- at `$.lists`\n")
+    ended = run_until_exit(tmp_path, "lists = []")
+    assert ended.code == 2
+    assert len(ended.errors.splitlines()) == 1
+    assert ended.errors.endswith("- at `$.lists`\n")
 
 
-def test_state_directory_serves_one_process(tmp_path):
+def test_state_directory_serves_one_process(settings, tmp_path):
     state = tmp_path / "state"
     state.mkdir()
-    settings = configuration(tmp_path, "127.0.0.1:9")
     with (state / "lock").open("wb") as lock:
         fcntl.flock(lock, fcntl.LOCK_EX)
-        with running_process(tmp_path, settings) as process:
-            _, errors = process.communicate(timeout=PROCESS_EXIT_S)
-    assert (process.returncode, len(errors.splitlines())) == (1, 1)
+        ended = run_until_exit(tmp_path, settings)
+    assert (ended.code, len(ended.errors.splitlines())) == (1, 1)
--- a/tests/discovery_server/test_server.py
+++ b/tests/discovery_server/test_server.py
@@ -3,151 +3,153 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
+import socket
 
-import orjson
+import pytest
 
 from loadbalancer.discovery_server import upstream_selector
 from loadbalancer.discovery_server.config import ListLimits
 from loadbalancer.proxy.proxy import Proxy
 from tests.discovery_server.cluster import (
-    Client,
     Registry,
-    address_of,
     discovery_server,
     endpoint_of,
     get,
     get_list,
-    ready,
-    start_watch,
+    list_reply,
 )
-from tests.support.loopback import LoopbackServer, config, reply, targets, until
-
-
-def test_change_goes_from_the_registry_by_region_and_zone_to_watches_and_a_node(tmp_path):
-    async def main():
-        registry = await Registry(**ready("a")).start()
-        async with (
-            discovery_server(tmp_path / "region", registry.endpoint) as region,
-            discovery_server(tmp_path / "zone", endpoint_of(region)) as zone,
-        ):
-            await until(lambda: zone.ready)
-            node = Proxy(config(endpoint_of(zone)))
-            await node.start()
-            await until(lambda: set(node.policy.endpoints.by_name) == {"a"})
-            revision, complete, uids = await get_list(zone)
-            assert (complete, uids) == (True, ["a"])
-            watches = [await start_watch(zone, revision) for _ in range(100)]
-            before = zone.statistics().encodings
-            registry.set(**ready("a", "b"))
-            deltas = await asyncio.gather(*watches)
-            assert {(delta.complete, *delta.uids) for delta in deltas} == {(False, "b")}
-            assert min(delta.revision for delta in deltas) > revision
-            assert zone.statistics().encodings == before + 1
-            await until(lambda: set(node.policy.endpoints.by_name) == {"a", "b"})
-            registry.set(**ready("b"))
-            await until(lambda: set(node.policy.endpoints.by_name) == {"b"})
-            node.close()
-        registry.stop()
-
-    asyncio.run(main())
-
-
-def test_restart_serves_the_snapshot_at_once_while_the_registry_is_down(tmp_path):
-    async def main():
-        registry = await Registry(**ready("a", "b")).start()
-        async with discovery_server(tmp_path, registry.endpoint) as server:
-            await until(lambda: server.ready)
-            first = await get_list(server)
-        registry.stop()
-        async with discovery_server(tmp_path, registry.endpoint) as server:
-            assert server.ready
-            assert await get_list(server) == first
-            client = await Client.connect(address_of(server))
-            revision = (await client.watch(first.revision, timeout_ms=1)).revision
-            assert revision == first.revision
-            watch = await start_watch(server, revision, client)
-            returned = Registry(**ready("a", "b", "c"))
-            returned._server = await asyncio.start_server(returned._serve, "127.0.0.1", registry.port)
-            later, complete, uids = await watch
-            assert (later > revision, complete, uids) == (True, False, ["c"])
-            returned.stop()
-
-    asyncio.run(main())
-
-
-def test_server_without_a_list_answers_503(tmp_path):
-    async def main():
-        silent = await LoopbackServer(lambda _: asyncio.Event().wait()).start()
-        async with discovery_server(tmp_path, silent.endpoint) as server:
-            message = await get(server)
-            assert (message.status, message.headers["retry-after"]) == (503, "1.000")
-            client = await Client.connect(address_of(server))
-            assert (await client.get("/up")).status == 503
-        silent.stop()
-
-    asyncio.run(main())
-
-
-def test_next_upstream_is_followed_from_its_complete_list_and_revisions_increase(tmp_path):
-    """Both count their revisions alike and hold other lists; then the second counts anew."""
-
-    async def main():
-        first, second = await Registry(**ready("a", "b")).start(), await Registry(**ready("b", "c")).start()
-        first.rev = second.rev = 5
-        async with discovery_server(tmp_path, first.endpoint, second.endpoint) as server:
-            await until(lambda: server.ready)
-            client = await Client.connect(address_of(server))
-            revision, _, uids = await client.get_list()
-            assert uids == ["a", "b"]
-            watch = await start_watch(server, revision, client)
-            first.stop()
-            later = (await watch).revision
-            assert (later > revision, set((await get_list(server)).uids)) == (True, {"b", "c"})
-            watch = await start_watch(server, later, client)
-            second.rev = 1
-            second.set(**ready("b", "d"))
-            latest = (await watch).revision
-            assert (latest > later, set((await get_list(server)).uids)) == (True, {"b", "d"})
-        second.stop()
-
-    asyncio.run(main())
-
-
-UNUSABLE_ANSWERS = [
+from tests.support.loopback import LoopbackServer, config, reply, until
+
+UNUSABLE_RESPONSES = (
     reply(200, b"{"),
-    reply(200, orjson.dumps({"rev": 9, "all": True, "targets": [{"uid": "x"}]})),
-    reply(200, orjson.dumps({"rev": 9, "all": False, "targets": targets(**ready("x"))})),
-    reply(200, orjson.dumps({"rev": 9, "all": True, "targets": targets(**ready(*map(str, range(9))))})),
+    reply(200, b'{"rev": 9, "all": true, "targets": [{"uid": "x"}]}'),
+    list_reply(9, "x", complete=False),
+    list_reply(9, *map(str, range(9))),
     reply(503),
     b"what?\r\n\r\n",
     None,
-]
+)
 
 
-def test_malformed_or_too_long_answers_of_an_upstream_change_nothing(tmp_path, monkeypatch):
-    monkeypatch.setattr(upstream_selector, "MAX_BACKOFF_S", 0.1)
+@pytest.fixture
+async def node_of():
+    """Starts a node that follows a discovery server, and closes it at the end of the test."""
+    nodes = []
+
+    async def start(server):
+        nodes.append(Proxy(config(endpoint_of(server))))
+        await nodes[-1].start()
+        return nodes[-1]
+
+    yield start
+    for node in nodes:
+        node.close()
+
+
+@pytest.fixture
+def refusing_socket():
+    """A socket whose address refuses connections until a server listens on it."""
+    with socket.socket() as bound:
+        bound.bind(("127.0.0.1", 0))
+        bound.setblocking(False)
+        yield bound
+
+
+async def test_change_goes_from_the_registry_by_region_and_zone_to_watches_and_a_node(cluster, node_of):
+    registry = await cluster.registry("a")
+    region = await cluster.ready_server(registry.endpoint, name="region")
+    zone = await cluster.ready_server(endpoint_of(region), name="zone")
+    node = await node_of(zone)
+    await until(lambda: set(node.policy.endpoints.by_name) == {"a"})
+    revision, complete, uids = await get_list(zone)
+    assert (complete, uids) == (True, ["a"])
+    watches = await cluster.start_watches(zone, revision, 100)
+    encodings_before = zone.statistics().encodings
+    registry.set_endpoints("a", "b")
+    deltas = await asyncio.gather(*watches)
+    assert {(delta.complete, *delta.uids) for delta in deltas} == {(False, "b")}
+    assert min(delta.revision for delta in deltas) > revision
+    assert zone.statistics().encodings == encodings_before + 1
+    await until(lambda: set(node.policy.endpoints.by_name) == {"a", "b"})
+    registry.set_endpoints("b")
+    await until(lambda: set(node.policy.endpoints.by_name) == {"b"})
+
+
+async def test_restart_serves_the_snapshot_at_once_while_the_registry_is_down(
+    cluster, refusing_socket, tmp_path
+):
+    registry = await cluster.registry("a", "b")
+    async with discovery_server(tmp_path, registry.endpoint) as server:
+        await until(lambda: server.ready)
+        first = await get_list(server)
+    await registry.aclose()
+    host, port = refusing_socket.getsockname()
+    async with discovery_server(tmp_path, f"{host}:{port}") as server:
+        assert server.ready
+        assert await get_list(server) == first
+        client = await cluster.connect(server)
+        assert (await client.watch(first.revision, timeout_ms=1)).revision == first.revision
+        watch = await cluster.start_watch(server, first.revision, client)
+        async with contextlib.aclosing(Registry("a", "b", "c")) as returned:
+            await returned.start(refusing_socket)
+            later, complete, uids = await watch
+        assert (later > first.revision, complete, uids) == (True, False, ["c"])
+
+
+async def test_server_without_a_list_responds_503(cluster):
+    silent = await cluster.upstream(lambda _: asyncio.Event().wait())
+    server = await cluster.server(silent.endpoint)
+    message = await get(server)
+    assert (message.status, message.headers["retry-after"]) == (503, "1.000")
+    assert (await get(server, "/up")).status == 503
+
 
-    async def main():
-        answers = [*UNUSABLE_ANSWERS]
-
-        async def script(message):
-            if answers:
-                return answers.pop(0)
-            return await registry.respond(message)
-
-        registry = Registry(**ready("a"))
-        upstream = await LoopbackServer(script).start()
-        limits = ListLimits(max_entries=5)
-        async with discovery_server(tmp_path, upstream.endpoint, list_limits=limits) as server:
-            await until(lambda: server.ready)
-            revision, _, uids = await get_list(server)
-            assert uids == ["a"]
-            watch = await start_watch(server, revision)
-            answers += UNUSABLE_ANSWERS
-            registry.set(**ready("a"))
-            await until(lambda: not answers)
-            registry.set(**ready("a", "b"))
-            assert (await watch)[1:] == (False, ["b"])
-        upstream.stop()
-
-    asyncio.run(main())
+async def test_next_upstream_is_followed_from_its_complete_list_and_revisions_increase(cluster):
+    """Both count their revisions alike and hold other lists; then the second counts from the start again."""
+    first, second = await cluster.registry("a", "b"), await cluster.registry("b", "c")
+    first.revision = second.revision = 5
+    server = await cluster.ready_server(first.endpoint, second.endpoint)
+    revision, _, uids = await get_list(server)
+    assert uids == ["a", "b"]
+    client = await cluster.connect(server)
+    watch = await cluster.start_watch(server, revision, client)
+    await first.aclose()
+    later = (await watch).revision
+    assert (later > revision, set((await get_list(server)).uids)) == (True, {"b", "c"})
+    watch = await cluster.start_watch(server, later, client)
+    second.set_endpoints("b", "d", revision=2)
+    latest = (await watch).revision
+    assert (latest > later, set((await get_list(server)).uids)) == (True, {"b", "d"})
+
+
+class FaultyUpstream(LoopbackServer):
+    """Sends the unusable responses first, and then those of the registry."""
+
+    def __init__(self, registry):
+        super().__init__(self.respond)
+        self.registry = registry
+        self.unusable = []
+        self.fail()
+
+    def fail(self):
+        """Send the unusable responses from the next request on."""
+        self.unusable += UNUSABLE_RESPONSES
+
+    async def respond(self, message):
+        return self.unusable.pop(0) if self.unusable else await self.registry.respond(message)
+
+
+async def test_malformed_or_too_long_lists_of_an_upstream_change_nothing(cluster, monkeypatch):
+    monkeypatch.setattr(upstream_selector, "MAX_BACKOFF_S", 0.1)
+    registry = Registry("a")
+    async with FaultyUpstream(registry) as upstream:
+        server = await cluster.ready_server(upstream.endpoint, list_limits=ListLimits(max_entries=5))
+        revision, _, uids = await get_list(server)
+        assert uids == ["a"]
+        watch = await cluster.start_watch(server, revision)
+        upstream.fail()
+        registry.set_endpoints("a")
+        await until(lambda: not upstream.unusable)
+        registry.set_endpoints("a", "b")
+        assert (await watch)[1:] == (False, ["b"])
--- a/tests/discovery_server/test_update_pipeline.py
+++ b/tests/discovery_server/test_update_pipeline.py
@@ -12,7 +12,6 @@
     Registry,
     address_of,
     discovery_server,
-    ready,
 )
 from tests.discovery_server.model import MAX_LOG_ENTRIES, ModelCluster, ModelNode, ModelServer
 from tests.support.loopback import until
@@ -135,8 +134,7 @@
 
 
 async def test_client_far_ahead_is_rejected_with_503_and_served_after_the_write(tmp_path):
-    registry = await Registry(**ready("a")).start()
-    async with discovery_server(tmp_path, registry.endpoint) as server:
+    async with Registry("a") as registry, discovery_server(tmp_path, registry.endpoint) as server:
         await until(lambda: server.ready)
         client = await Client.connect(address_of(server))
         client_revision = (await client.get_list()).revision + (FAR_TICKS << TAG_BITS) + OTHER_TAG
@@ -148,5 +146,4 @@
         served = await client.watch(client_revision)
         assert served == (await client.get_list())
         assert (served.complete, served.uids) == (True, ["a"])
-        client.writer.close()
-    registry.stop()
+        await client.aclose()
--- a/tests/discovery_server/test_upstream_follower.py
+++ b/tests/discovery_server/test_upstream_follower.py
@@ -7,119 +7,142 @@
 
 import pytest
 
+from loadbalancer.discovery_server.records import EndpointUpdate
 from loadbalancer.discovery_server.upstream_follower import UpstreamFollower
-from loadbalancer.discovery_server.upstream_selector import MAX_BACKOFF_S, UpstreamSelector
-from tests.support.model_time import FAULTS, DiscoveryModel, run_in_model_time
+from loadbalancer.discovery_server.upstream_selector import MAX_BACKOFF_S
+from loadbalancer.http.addresses import Address
+from tests.support.model_time import FAULTS, DiscoveryModel, ModelLoop, run_in_model_time
 
 WATCH_TIMEOUT_MS = 3000.0
 NOTIFICATION_LIMIT_S = 6.0  # of 8 s from the registry to everywhere
-UPSTREAMS = [("127.0.0.1", 1), ("127.0.0.1", 2)]
+UPSTREAMS = [Address("127.0.0.1", 1), Address("127.0.0.1", 2)]
+OUTAGE_S = 600.0
+MAX_REQUESTS_PER_S = 2.5 / MAX_BACKOFF_S
 
 
 class Upstream(DiscoveryModel):
-    """Takes the first request of a connection, which has no query, for one from revision 0."""
+    """Responds to the first request of a connection, which has no query, as to one from revision 0."""
 
     def on_request(self, transport, text):
         super().on_request(transport, text.replace("/hosts HTTP", "/hosts?since=0&timeout_ms=0 HTTP"))
 
 
-def make_follower(fault, rng, count):
-    """A follower of so many upstreams, with the lists of its updates and of its status changes."""
+class FollowedUpstreams:
+    """A follower of some upstreams that fail alike; a context manager that closes it.
+
+    Attributes:
+        model: What responds at every upstream's address.
+        updates: The follower's updates.
+        connected: The follower's changes of status: whether an upstream is connected.
+    """
+
+    def __init__(self, fault: str, rng: Random, count: int) -> None:
+        loop = asyncio.get_running_loop()
+        assert isinstance(loop, ModelLoop)
+        self.model = loop.discovery = Upstream(fault, rng)
+        self.updates: list[EndpointUpdate] = []
+        self._updated = asyncio.Event()
+        self.connected: list[bool] = []
+        self.follower = UpstreamFollower(
+            UPSTREAMS[:count],
+            WATCH_TIMEOUT_MS,
+            rng,
+            self._on_update,
+            lambda status: self.connected.append(status.connected),
+        )
+
+    async def __aenter__(self):
+        return self
+
+    async def __aexit__(self, *_error: object) -> None:
+        self.follower.close()
+        await asyncio.sleep(1.0)  # both ends of the connections are closed in the turns of this time
+
+    def _on_update(self, update: EndpointUpdate) -> None:
+        self.updates.append(update)
+        self._updated.set()
+
+    async def wait_for_update(self) -> None:
+        """Wait for the next update."""
+        self._updated.clear()
+        await self._updated.wait()
+
+    def uids_since(self, first_update: int) -> set[str]:
+        """The endpoints in the updates from this one on."""
+        return {record.uid for update in self.updates[first_update:] for record in update.records}
+
+
+async def notification_delay(fault, failed_requests, after_s, count, rng):
+    """Seconds from the upstream's return, `after_s` after these failed requests, to its change."""
     loop = asyncio.get_running_loop()
-    loop.discovery = Upstream(fault, rng)
-    updates, connected = [], []
-    follower = UpstreamFollower(
-        UPSTREAMS[:count],
-        WATCH_TIMEOUT_MS,
-        rng,
-        updates.append,
-        lambda status: connected.append(status.connected),
-    )
-    return follower, loop.discovery, updates, connected
-
-
-async def notification_delay(fault, failed_calls, after_s, count, rng):
-    """Seconds from the upstream's return, `after_s` after so many failed calls, to its change."""
-    follower, upstream, updates, connected = make_follower(fault, rng, count)
-    follower.start()
-    await upstream.wait_for_attempts(2)
-    await asyncio.sleep(rng.uniform(0.0, 1.0))
-    upstream.go_down()
-    await upstream.wait_for_attempts(failed_calls)
-    await asyncio.sleep(after_s)
-    upstream.up, upstream.revision = True, 3
-    before = len(updates)
-    loop = asyncio.get_running_loop()
-    returned_at = loop.time()
-    uids = set()
-    while "s3" not in uids:
-        await asyncio.sleep(0.01)
-        uids = {record.uid for update in updates[before:] for record in update.records}
-    delay_s = loop.time() - returned_at
-    follower.close()
-    assert (connected[0], connected[-1]) == (True, True)
+    async with FollowedUpstreams(fault, rng, count) as upstreams:
+        model = upstreams.model
+        upstreams.follower.start()
+        await model.wait_for_attempts(2)
+        await asyncio.sleep(rng.uniform(0.0, 1.0))
+        model.go_down()
+        await model.wait_for_attempts(failed_requests)
+        await asyncio.sleep(after_s)
+        model.up, model.revision = True, 3
+        updates_before = len(upstreams.updates)
+        returned_at = loop.time()
+        while "s3" not in upstreams.uids_since(updates_before):
+            await upstreams.wait_for_update()
+        delay_s = loop.time() - returned_at
+    assert (upstreams.connected[0], upstreams.connected[-1]) == (True, True)
     return delay_s
 
 
+async def requests_in_an_outage(fault):
+    """The requests that upstreams get while they are down for `OUTAGE_S` from the start."""
+    async with FollowedUpstreams(fault, Random(1), 2) as upstreams:
+        upstreams.model.up = False
+        upstreams.follower.start()
+        await asyncio.sleep(OUTAGE_S)
+        upstreams.follower.close()
+        assert upstreams.connected == [False], "each outage is reported once"
+        return upstreams.model.attempts.qsize()
+
+
 @pytest.mark.parametrize("count", [1, 2])
 @pytest.mark.parametrize("fault", FAULTS)
 def test_change_is_notified_in_time_whatever_failed_before(fault, count):
-    rng, delays = Random(f"{fault} {count}"), {}
-    for failed_calls in range(8):
+    rng = Random(f"{fault} {count}")
+    delays = {}
+    for failed_requests in range(8):
         for after_s in (0.001, rng.uniform(0.0, 4.0), rng.uniform(0.0, 4.0)):
-            delay_s = run_in_model_time(notification_delay(fault, failed_calls, after_s, count, rng))
-            delays[delay_s] = (failed_calls, after_s)
+            delay_s = run_in_model_time(notification_delay(fault, failed_requests, after_s, count, rng))
+            delays[delay_s] = (failed_requests, after_s)
     longest_s, case = max(delays.items())
     assert longest_s <= NOTIFICATION_LIMIT_S, f"{longest_s:.2f} s after the return: {case}"
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_upstream_that_is_down_is_not_flooded_with_calls(fault):
-    async def calls_per_second():
-        follower, upstream, _, connected = make_follower(fault, Random(1), 2)
-        upstream.up = False
-        follower.start()
-        await asyncio.sleep(600.0)
-        follower.close()
-        assert connected == [False], "each outage is reported once"
-        return upstream.attempts.qsize() / 600.0
-
-    assert run_in_model_time(calls_per_second()) <= 2.5 / MAX_BACKOFF_S
-
-
-def test_backoff_is_short_at_first_bounded_spread_and_reproducible():
-    def backoffs(seed, failures):
-        selector = UpstreamSelector(3, Random(seed))
-        drawn = []
-        for _ in range(failures):
-            selector.record_failure()
-            drawn.append(selector.backoff_s)
-        return drawn, selector.index
-
-    first = sorted(backoffs(seed, 1)[0][0] for seed in range(1000))
-    late = sorted(backoffs(seed, 2000)[0][-1] for seed in range(200))
-    assert first[-1] <= 0.25
-    assert 1.5 <= late[-1] <= MAX_BACKOFF_S
-    for spread in (first, late):  # no tenth of the time takes more than a quarter of the followers
-        tenths = [int(10 * backoff_s / spread[-1]) for backoff_s in spread]
-        assert max(tenths.count(tenth) for tenth in range(10)) <= len(spread) / 4
-    assert backoffs(1, 20) == backoffs(1, 20) != backoffs(2, 20)
-    assert backoffs(1, 4)[1] == 1
+def test_upstream_that_is_down_is_not_flooded_with_requests(fault):
+    requests = run_in_model_time(requests_in_an_outage(fault))
+    assert requests / OUTAGE_S <= MAX_REQUESTS_PER_S
 
 
-def test_backoff_after_a_rejected_update_is_that_of_several_failures():
-    bounds = []
+class UpperBound(Random):
+    """Draws the upper bound of each range, and records it."""
 
-    class UpperBound(Random):
-        def uniform(self, a, b):
-            bounds.append(b)
-            return b
+    def __init__(self) -> None:
+        super().__init__(1)
+        self.bounds: list[float] = []
 
-    async def reject_twice():
-        follower, *_ = make_follower("refused", UpperBound(1), 1)
-        follower.restart_after_rejection()
-        follower.restart_after_rejection()
-        follower.close()
+    def uniform(self, a, b):
+        self.bounds.append(b)
+        return b
 
-    run_in_model_time(reject_twice())
-    assert bounds == [MAX_BACKOFF_S, MAX_BACKOFF_S]
+
+async def reject_updates(rng, count):
+    """Reject updates one after the other."""
+    async with FollowedUpstreams("refused", rng, 1) as upstreams:
+        for _ in range(count):
+            upstreams.follower.restart_after_rejection()
+
+
+def test_backoff_after_a_rejected_update_is_that_of_several_failures():
+    rng = UpperBound()
+    run_in_model_time(reject_updates(rng, 2))
+    assert rng.bounds == [MAX_BACKOFF_S, MAX_BACKOFF_S]
