--- a/tests/discovery_server/test_config.py
+++ b/tests/discovery_server/test_config.py
@@ -1,4 +1,4 @@
-"""The configuration file: the example of the page, and faults that are named by their place."""
+"""The configuration file: the example of the page, and the setting that an error names."""
 
 from __future__ import annotations
 
@@ -19,6 +19,7 @@
 
 
 def example():
+    """The configuration file on the page."""
     (block,) = re.findall(r"```toml\n(.*?)```", PAGE.read_text(), flags=re.DOTALL)
     return block
 
@@ -33,22 +34,28 @@
 @pytest.mark.parametrize(
     ("old", "new", "place"),
     [
-        ("wait_ms = 3000", 'wait_ms = "soon"', "$.wait_ms"),
-        ("wait_ms = 3000", "wait_ms = 60001", "$.wait_ms"),
-        ("wait_ms = 3000", "wiat_ms = 3000", "wiat_ms"),
-        ("id = 7", "id = 131072", "$.id"),
-        ("entries = 20000", "entries = 0", "$.limits.entries"),
-        ("watches = 4000", "watches = -1", "$.process.watches"),
-        ('name = "stock"', 'name = "checkout"', "$.lists[1].name"),
-        ('name = "stock"', 'name = "../stock"', "$.lists[1].name"),
-        ('listen = "127.0.0.1:7102"', 'listen = "localhost:7102"', "$.lists[1].listen"),
-        ('"127.0.0.1:7002"]', '"127.0.0.1:70020"]', "$.lists[0].upstreams[1]"),
-        ('upstreams = ["127.0.0.1:7001"]', "upstreams = []", "$.lists[1].upstreams"),
-        ('state_dir = "state/zone-a"', "", "state_dir"),
-        ("[limits]", "[limits", "line 7"),
+        pytest.param("wait_ms = 3000", 'wait_ms = "soon"', "$.wait_ms", id="a text for a number"),
+        pytest.param("wait_ms = 3000", "wait_ms = 60001", "$.wait_ms", id="a duration over its limit"),
+        pytest.param("wait_ms = 3000", "wiat_ms = 3000", "wiat_ms", id="an unknown key"),
+        pytest.param("id = 7", "id = 131072", "$.id", id="an id of too many bits"),
+        pytest.param("entries = 20000", "entries = 0", "$.limits.entries", id="a limit of 0"),
+        pytest.param("watches = 4000", "watches = -1", "$.process.watches", id="a negative limit"),
+        pytest.param('name = "stock"', 'name = "checkout"', "$.lists[1].name", id="a repeated name"),
+        pytest.param('name = "stock"', 'name = "../stock"', "$.lists[1].name", id="a name that is a path"),
+        pytest.param(
+            'listen = "127.0.0.1:7102"', 'listen = "localhost:7102"', "$.lists[1].listen", id="a host name"
+        ),
+        pytest.param(
+            '"127.0.0.1:7002"]', '"127.0.0.1:70020"]', "$.lists[0].upstreams[1]", id="a port out of range"
+        ),
+        pytest.param(
+            'upstreams = ["127.0.0.1:7001"]', "upstreams = []", "$.lists[1].upstreams", id="no upstream"
+        ),
+        pytest.param('state_dir = "state/zone-a"', "", "state_dir", id="a missing key"),
+        pytest.param("[limits]", "[limits", "line 7", id="malformed TOML"),
     ],
 )
-def test_bad_configuration_names_the_place(old, new, place):
+def test_bad_configuration_names_the_setting(old, new, place):
     text = example()
     assert old in text
     with pytest.raises(ConfigurationError, match=re.escape(place)) as raised:
--- a/tests/discovery_server/test_dependencies.py
+++ b/tests/discovery_server/test_dependencies.py
@@ -1,4 +1,4 @@
-"""What the packages import: the proxy nothing of the discovery server, which knows only what is under it."""
+"""Imports: the proxy imports nothing of the discovery server, which imports only the layers below it."""
 
 from __future__ import annotations
 
@@ -7,6 +7,8 @@
 import sys
 from pathlib import Path
 
+import pytest
+
 ROOT = Path(__file__).parents[2]
 ALLOWED_MODULES = {
     "http.addresses",
@@ -18,6 +20,7 @@
     "http.request",
 }
 MAX_MODULE_LINES = 350
+MODULES = sorted((ROOT / "loadbalancer" / "discovery_server").glob("*.py"))
 
 
 def test_proxy_imports_nothing_of_the_discovery_server():
@@ -33,11 +36,9 @@
     }
 
 
-def test_discovery_server_imports_only_what_is_under_it():
-    for path in (ROOT / "loadbalancer" / "discovery_server").glob("*.py"):
-        text = path.read_text()
-        imported = set(re.findall(r"^(?:from|import) loadbalancer\.([\w.]+)", text, flags=re.MULTILINE))
-        assert {name for name in imported if not name.startswith("discovery_server")} <= ALLOWED_MODULES, (
-            path.name
-        )
-        assert len(text.splitlines()) < MAX_MODULE_LINES, path.name
+@pytest.mark.parametrize("path", MODULES, ids=lambda path: path.name)
+def test_module_of_the_discovery_server_is_short_and_imports_only_the_layers_below(path):
+    text = path.read_text()
+    imported = set(re.findall(r"^(?:from|import) loadbalancer\.([\w.]+)", text, flags=re.MULTILINE))
+    assert {name for name in imported if not name.startswith("discovery_server")} <= ALLOWED_MODULES
+    assert len(text.splitlines()) < MAX_MODULE_LINES
--- a/tests/discovery_server/test_watch_query.py
+++ b/tests/discovery_server/test_watch_query.py
@@ -4,25 +4,35 @@
 
 import pytest
 
-from loadbalancer.discovery_server.watch_query import QueryError, parse_query
-
-MALFORMED = (b"since=", b"since=x", b"since=1&since=1", b"timeout_ms=-1", b"&", b"=1")
+from loadbalancer.discovery_server.watch_query import MAX_WAIT_MS, QueryError, WatchQuery, parse_query
 
 
 @pytest.mark.parametrize(
     ("query", "parsed"),
     [
-        (b"", (None, 0)),
-        (b"since=41&timeout_ms=20000", (41, 20000)),
-        (b"timeout_ms=999999999&since=-1", (-1, 60000)),
-        (b"since=41&later=x", (41, 0)),
-        *((query, None) for query in MALFORMED),
-        (b"since=" + b"9" * 19, None),
+        pytest.param(b"", WatchQuery(None, 0), id="empty"),
+        pytest.param(b"since=41&timeout_ms=20000", WatchQuery(41, 20000), id="both parameters"),
+        pytest.param(b"timeout_ms=999999999&since=-1", WatchQuery(-1, 60000), id="a wait over the limit"),
+        pytest.param(b"since=41&later=x", WatchQuery(41, 0), id="an unknown parameter"),
+    ],
+)
+def test_query_is_parsed(query, parsed):
+    assert parse_query(query) == parsed
+    assert parsed.timeout_ms <= MAX_WAIT_MS
+
+
+@pytest.mark.parametrize(
+    "query",
+    [
+        pytest.param(b"since=", id="no revision"),
+        pytest.param(b"since=x", id="a text for a revision"),
+        pytest.param(b"since=1&since=1", id="a repeated revision"),
+        pytest.param(b"since=" + b"9" * 19, id="a revision of too many digits"),
+        pytest.param(b"timeout_ms=-1", id="a negative wait"),
+        pytest.param(b"&", id="empty parts"),
+        pytest.param(b"=1", id="a value without a name"),
     ],
 )
-def test_query_is_parsed_or_rejected(query, parsed):
-    if parsed is None:
-        with pytest.raises(QueryError, match="malformed"):
-            parse_query(query)
-    else:
-        assert parse_query(query) == parsed
+def test_malformed_query_is_rejected(query):
+    with pytest.raises(QueryError, match="malformed"):
+        parse_query(query)
