--- a/tests/benchmarks/test_profiled_proxy.py
+++ b/tests/benchmarks/test_profiled_proxy.py
@@ -32,7 +32,8 @@
     sys.setprofile(None)
 
 
-def test_sample_in_a_library_counts_for_the_stage_of_its_caller_in_the_proxy(sampler, sample_at_choices):
+@pytest.mark.usefixtures("sample_at_choices")
+def test_sample_in_a_library_counts_for_the_stage_of_its_caller_in_the_proxy(sampler):
     PolicyHarness(endpoint_count=8).submit()
     assert sampler.stages == {"policy: selection": 1}
 
