--- a/tests/benchmarks/test_hollow_nodes.py
+++ b/tests/benchmarks/test_hollow_nodes.py
@@ -7,7 +7,8 @@
 import pytest
 
 from benchmarks.hollow.messages import ExpectChange, StartNodes, WatchedList
-from benchmarks.hollow.nodes import HollowNodes, MeteredConnection
+from benchmarks.hollow.metered_watch import MeteredConnection
+from benchmarks.hollow.node_group import HollowNodes
 from benchmarks.hollow.plain_server import PlainList, serve
 from benchmarks.hollow.service_lists import ServiceLists
 from benchmarks.support.list_server import ListServer
