--- a/benchmarks/hollow/__main__.py
+++ b/benchmarks/hollow/__main__.py
@@ -19,7 +19,7 @@
 from benchmarks.hollow.measurement import measure
 from benchmarks.hollow.plan import ListLayout, Plan, with_layout
 from benchmarks.hollow.report import format_report, regression_slopes
-from benchmarks.hollow.servers_under_test import ServerKind
+from benchmarks.hollow.server_under_test import ServerKind
 from benchmarks.support.options import make_plan
 from benchmarks.support.report import write_results
 
--- a/benchmarks/hollow/servers_under_test.py
+++ b/benchmarks/hollow/discovery_server_chain.py
@@ -1,4 +1,4 @@
-"""The list servers that hollow nodes watch, behind one interface for start, change and restart."""
+"""Discovery servers in child processes, in a chain behind a registry."""
 
 from __future__ import annotations
 
@@ -7,13 +7,11 @@
 import time
 from collections import Counter
 from collections.abc import Sequence
-from enum import StrEnum
 from pathlib import Path
-from typing import Protocol
 
 import msgspec
 
-from benchmarks.hollow.plain_server import ChangeWritten, PlainList, PlainServerReady
+from benchmarks.hollow.plain_server_process import PLAIN_ROLE, PlainServer
 from benchmarks.hollow.service_lists import ListChanges, ServiceLists
 from benchmarks.support.free_ports import free_ports
 from benchmarks.support.health_check import responds_ok
@@ -23,9 +21,7 @@
 
 READY_TIMEOUT_S = 60.0  # from a server's start until a list is served
 READY_POLL_S = 0.02
-PLAIN_ROLE = "plain"
 REGISTRY_ROLE = "registry"
-RESTART_REVISION_INCREMENT = 1_000_000  # a restarted plain server begins another history of its lists
 MAX_CONNECTIONS = 10_000  # of a discovery server
 MAX_WATCHES = 10_000
 PROBLEM_LEVELS = ("warning", "error")
@@ -39,97 +35,6 @@
         self.port = port
 
 
-class ServerKind(StrEnum):
-    """The kind of server that the hollow nodes watch."""
-
-    PLAIN = "plain"  # a plain list server
-    DISCOVERY_SERVER = "directory"  # one discovery server behind a registry
-    CHAIN = "chain"  # the discovery servers of a region and a zone behind a registry
-
-
-class ServerUnderTest(Protocol):
-    """A list server, or a chain of them, with the source at which changes are written."""
-
-    roles: dict[str, ChildProcess]  # its processes by role; the last one is the one that the nodes watch
-
-    @property
-    def ports(self) -> list[int]:
-        """The port of each list, at which the nodes watch it."""
-        ...
-
-    async def start(self, services: ServiceLists) -> None:
-        """Start all processes."""
-        ...
-
-    async def change(self, changes: ListChanges) -> float:
-        """Write a change at the source; return the time of the write, in seconds of the monotonic clock."""
-        ...
-
-    async def stop_last(self) -> None:
-        """End the process that the nodes watch, without a shutdown."""
-        ...
-
-    async def start_last(self, services: ServiceLists, /) -> float:
-        """Start that process again at the same addresses; return the time from which it serves."""
-        ...
-
-    def logged_problems(self) -> Counter[str]:
-        """Count warnings and errors in the logs since the start, by role and event."""
-        ...
-
-    async def close(self) -> None:
-        """End all processes."""
-        ...
-
-
-class PlainServer:
-    """One plain list server, which the nodes watch directly."""
-
-    def __init__(self, folder: Path) -> None:
-        self.roles: dict[str, ChildProcess] = {}
-        self.ports: list[int] = []
-        self._lists_file = folder / "lists.json"
-        self._revision = 1
-
-    async def start(self, services: ServiceLists) -> None:
-        """See `ServerUnderTest`."""
-        self.ports = free_ports(len(services.lists))
-        await self.start_last(services)
-
-    async def change(self, changes: ListChanges) -> float:
-        """See `ServerUnderTest`; while the process is down, the file for its next start holds the change."""
-        process = self.roles.get(PLAIN_ROLE)
-        if process is None:
-            return time.monotonic()
-        return (await process.request(changes, ChangeWritten)).at_s
-
-    async def stop_last(self) -> None:
-        """See `ServerUnderTest`."""
-        await self.roles.pop(PLAIN_ROLE).kill()
-
-    async def start_last(self, services: ServiceLists, /) -> float:
-        """See `ServerUnderTest`."""
-        lists = [
-            PlainList(self._revision, list(entries.values()), port)
-            for port, entries in zip(self.ports, services.lists, strict=True)
-        ]
-        self._revision += RESTART_REVISION_INCREMENT
-        self._lists_file.write_bytes(msgspec.json.encode(lists))
-        process = await ChildProcess.start("benchmarks.hollow.plain_server", str(self._lists_file))
-        await process.receive(PlainServerReady)
-        self.roles[PLAIN_ROLE] = process
-        return time.monotonic()
-
-    def logged_problems(self) -> Counter[str]:
-        """See `ServerUnderTest`; a plain server has no log."""
-        return Counter()
-
-    async def close(self) -> None:
-        """See `ServerUnderTest`."""
-        for process in self.roles.values():
-            await process.kill()
-
-
 class _LogLine(msgspec.Struct):
     """The fields of a discovery server's log line that are read here."""
 
@@ -250,14 +155,3 @@
                 return
         await asyncio.sleep(READY_POLL_S)
     raise ListNotServedError(port)
-
-
-def server_under_test(kind: ServerKind, folder: Path) -> ServerUnderTest:
-    """Return a server of this kind, not started yet; the folder is for its files."""
-    match kind:
-        case ServerKind.PLAIN:
-            return PlainServer(folder)
-        case ServerKind.DISCOVERY_SERVER:
-            return DiscoveryServerChain(folder, ["directory"])
-        case ServerKind.CHAIN:
-            return DiscoveryServerChain(folder, ["region", "zone"])
--- a/benchmarks/hollow/measurement.py
+++ b/benchmarks/hollow/measurement.py
@@ -6,18 +6,20 @@
 from pathlib import Path
 
 from benchmarks.hollow.change_deliveries import MILLISECONDS_PER_S
+from benchmarks.hollow.discovery_server_chain import DiscoveryServerChain
 from benchmarks.hollow.node_processes import NodeProcesses
 from benchmarks.hollow.phases import Phase
+from benchmarks.hollow.plain_server_process import PlainServer
 from benchmarks.hollow.plan import CHANGES_PER_DAY, DAY_S, Plan
 from benchmarks.hollow.records import EventsRecord, HollowRecord, WatchCounts, event_figures, steady_figures
 from benchmarks.hollow.run import HollowRun
-from benchmarks.hollow.servers_under_test import server_under_test
+from benchmarks.hollow.server_under_test import ServerKind, ServerUnderTest
 from benchmarks.hollow.written_changes import DEFAULT_TIMING, RunTiming
 
 
 async def measure(plan: Plan, watches: int, folder: Path, timing: RunTiming = DEFAULT_TIMING) -> HollowRecord:
     """Run the plan with one number of watches and return its record; the folder holds the server's files."""
-    run = HollowRun(plan, watches, server_under_test(plan.server, folder), NodeProcesses(), timing)
+    run = HollowRun(plan, watches, create_server(plan.server, folder), NodeProcesses(), timing)
     try:
         counts = WatchCounts(
             watches=watches,
@@ -60,3 +62,14 @@
         restart=event_figures([restart.phase for restart in restarts], calm),
         restart_serving_ms=None if serving_after_s is None else serving_after_s * MILLISECONDS_PER_S,
     )
+
+
+def create_server(kind: ServerKind, folder: Path) -> ServerUnderTest:
+    """Create a server of this kind, not started yet; the folder is for its files."""
+    match kind:
+        case ServerKind.PLAIN:
+            return PlainServer(folder)
+        case ServerKind.DISCOVERY_SERVER:
+            return DiscoveryServerChain(folder, ["directory"])
+        case ServerKind.CHAIN:
+            return DiscoveryServerChain(folder, ["region", "zone"])
--- a/benchmarks/hollow/plan.py
+++ b/benchmarks/hollow/plan.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, replace
 from enum import StrEnum
 
-from benchmarks.hollow.servers_under_test import ServerKind
+from benchmarks.hollow.server_under_test import ServerKind
 from benchmarks.hollow.service_lists import LARGEST_SERVICE, SERVERS, SERVICES
 
 DAY_S = 86_400.0
--- a/benchmarks/hollow/run.py
+++ b/benchmarks/hollow/run.py
@@ -10,7 +10,7 @@
 from benchmarks.hollow.node_processes import NodeProcesses
 from benchmarks.hollow.phases import BurstPhases, Phase, RestartPhase
 from benchmarks.hollow.plan import Plan
-from benchmarks.hollow.servers_under_test import ServerUnderTest
+from benchmarks.hollow.server_under_test import ServerUnderTest
 from benchmarks.hollow.service_lists import ListChanges, ServiceLists, service_sizes
 from benchmarks.hollow.written_changes import DEFAULT_TIMING, RunTiming, WrittenChanges
 from benchmarks.support.membership import EndpointListMessage
--- a/benchmarks/hollow/written_changes.py
+++ b/benchmarks/hollow/written_changes.py
@@ -10,7 +10,7 @@
 from benchmarks.hollow.change_deliveries import ChangeDeliveries
 from benchmarks.hollow.messages import ExpectChange, NodeCounters
 from benchmarks.hollow.node_processes import NodeProcesses
-from benchmarks.hollow.servers_under_test import ServerUnderTest
+from benchmarks.hollow.server_under_test import ServerUnderTest
 from benchmarks.hollow.service_lists import ListChanges
 
 DELIVERY_POLL_S = 0.2
--- a/tests/benchmarks/test_commands.py
+++ b/tests/benchmarks/test_commands.py
@@ -10,7 +10,7 @@
 from click.testing import CliRunner
 
 from benchmarks.hollow import __main__ as hollow_command
-from benchmarks.hollow.servers_under_test import ServerKind
+from benchmarks.hollow.server_under_test import ServerKind
 
 
 @pytest.mark.parametrize(
--- a/tests/benchmarks/test_hollow_run.py
+++ b/tests/benchmarks/test_hollow_run.py
@@ -10,9 +10,10 @@
 from benchmarks.hollow.measurement import measure
 from benchmarks.hollow.messages import ChangeDelivery, NodeCounters
 from benchmarks.hollow.node_processes import NodeProcesses
+from benchmarks.hollow.plain_server_process import PlainServer
 from benchmarks.hollow.plan import Plan
 from benchmarks.hollow.run import HollowRun
-from benchmarks.hollow.servers_under_test import PlainServer, ServerKind
+from benchmarks.hollow.server_under_test import ServerKind
 from benchmarks.hollow.written_changes import RunTiming
 
 
