--- a/tests/benchmarks/test_profiled_proxy.py
+++ b/tests/benchmarks/test_profiled_proxy.py
@@ -9,7 +9,8 @@
 import orjson
 import pytest
 
-from benchmarks.call_profile.profiled_proxy import PROGRAM_FOLDER, STAGES, Sampler
+from benchmarks.call_profile.profiled_proxy import Sampler
+from benchmarks.call_profile.stages import PROGRAM_FOLDER, STAGES
 from benchmarks.support.processes import ROOT
 from tests.support.builders import PolicyHarness
 
