--- a/tests/benchmarks/test_commands.py
+++ b/tests/benchmarks/test_commands.py
@@ -1,16 +1,51 @@
-"""A short run of each command that measures real proxies, and the options of the hollow nodes' command."""
+"""Commands: each documented one exists, short runs of some, and the options of the hollow nodes' command."""
 
 from __future__ import annotations
 
+import re
 import subprocess
 import sys
+from importlib.util import find_spec
 
 import orjson
 import pytest
 from click.testing import CliRunner
 
+import benchmarks
 from benchmarks.hollow import __main__ as hollow_command
 from benchmarks.hollow.server_under_test import ServerKind
+from benchmarks.support.processes import ROOT
+
+COMMANDS = re.findall(r"^- `(\w+)`:", benchmarks.__doc__ or "", re.MULTILINE)
+
+
+def test_commands_of_the_readme_are_documented_in_the_package():
+    named = re.findall(r"`benchmarks\.(\w+)`", (ROOT / "README.md").read_text())
+    assert len(named) >= 9
+    assert set(named) <= set(COMMANDS)
+
+
+@pytest.mark.parametrize("command", COMMANDS)
+def test_documented_command_is_a_module_or_a_package_with_a_main_module(command):
+    spec = find_spec(f"benchmarks.{command}")
+    assert spec is not None
+    if spec.submodule_search_locations is not None:
+        assert find_spec(f"benchmarks.{command}.__main__") is not None
+
+
+def test_list_server_confirms_each_command_with_its_counters():
+    completed = subprocess.run(
+        [sys.executable, "-m", "benchmarks.list_server", "--servers", "5"],
+        input="lose 2\nfigures\n",
+        capture_output=True,
+        text=True,
+        check=True,
+        cwd=ROOT,
+    )
+    address, after_loss, unchanged = map(orjson.loads, completed.stdout.splitlines())
+    assert address["address"].startswith("127.0.0.1:")
+    assert (after_loss["revision"], after_loss["entries"], after_loss["answers"]) == (2, 3, 0)
+    assert (unchanged["revision"], unchanged["entries"]) == (2, 3)
 
 
 @pytest.mark.parametrize(
