--- a/tests/policy/checked_policy.py
+++ b/tests/policy/checked_policy.py
@@ -59,7 +59,7 @@
 
 @dataclass
 class ModelRequest:
-    """What the model knows of one request."""
+    """The model of one request."""
 
     service_class: ServiceClass
     attempts: list[SentAttempt] = field(default_factory=list)
@@ -109,7 +109,7 @@
             self.requests[event.request_id] = ModelRequest(service_class)
         for action in self.policy.handle(self.now_ms, event):
             self.check(action)
-        # An open request without an attempt in flight would never be answered.
+        # An open request without an attempt in flight would never get its final response.
         for request_id, request in self.requests.items():
             assert request.ended or request.in_flight(), request_id
 
@@ -118,27 +118,29 @@
             case Send():
                 self.check_send(action)
             case Reject() | Fail():
-                self.check_answer(action)
+                self.check_final_response(action)
             case Cancel():
                 assert self.settings.can_cancel
                 assert action.attempt < len(self.requests[action.request_id].attempts)
 
-    def check_answer(self, answer: Reject | Fail) -> None:
-        request = self.requests[answer.request_id]
-        assert not request.ended, "a second final answer"
-        if isinstance(answer, Reject) and request.possibly_executed():
+    def check_final_response(self, response: Reject | Fail) -> None:
+        request = self.requests[response.request_id]
+        assert not request.ended, "a second final response"
+        if isinstance(response, Reject) and request.possibly_executed():
             service_class = request.service_class
             is_keyed_everywhere = (
                 service_class.idempotency is Idempotency.KEYED
                 and service_class.deduplication_scope is DeduplicationScope.ALL
             )
             is_idempotent = service_class.idempotency is Idempotency.IDEMPOTENT
-            assert is_idempotent or is_keyed_everywhere, "a rejection that is not true"
+            assert is_idempotent or is_keyed_everywhere, (
+                "a rejection of a request that may have been executed"
+            )
         request.ended = True
 
     def check_send(self, send: Send) -> None:
         request, endpoint = self.requests[send.request_id], self.listed[send.endpoint]
-        assert not request.ended, "an attempt after the final answer"
+        assert not request.ended, "an attempt after the final response"
         assert endpoint.state is EndpointState.READY, "an attempt at a draining or removed endpoint"
         assert len(request.attempts) < self.settings.max_attempts
         assert send.timeout_ms >= 0
@@ -156,8 +158,6 @@
         if service_class.deduplication_scope is DeduplicationScope.CELL:
             assert endpoint.cell == first.endpoint.cell
 
-    # What may happen, by the names that EVENTS draws.
-
     def submit(self, class_number: int, remaining_ms: float) -> None:
         self.last_request_id = f"q{len(self.requests) + 1}"
         name = CLASSES[class_number % len(CLASSES)].name
@@ -215,8 +215,7 @@
         elif kind is UpdateKind.COMPLETE:
             listed = [item for item in endpoints if item.state is not EndpointState.REMOVED]
             endpoints = listed[: 1 + choice % 6]
-        is_empty = kind is UpdateKind.UNAVAILABLE
-        self.handle(MembershipUpdate(kind, () if is_empty else tuple(endpoints)))
+        self.handle(MembershipUpdate(kind, () if kind is UpdateKind.UNAVAILABLE else tuple(endpoints)))
 
     def fire_timer(self, name: str) -> None:
         self.handle(TimerFired(name))
--- a/tests/policy/test_discovery_backoff.py
+++ b/tests/policy/test_discovery_backoff.py
@@ -1,4 +1,4 @@
-"""When the endpoint list is watched or polled, and when a failed call is retried."""
+"""The start of the watch, and the backoff after a failed one."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from tests.support.builders import PolicyHarness, build_settings, types
 
 
-def test_discovery_is_polled_at_once():
+def test_discovery_is_polled_at_the_start():
     policy = LoadBalancingPolicy(build_settings(polls_discovery=True), seed=1, now_ms=0.0)
     assert StartWatch in types(policy.handle(0.0, MembershipUpdate(UpdateKind.CACHED)))
 
 
-def test_failed_polls_are_retried_with_growing_backoff():
+def test_failed_polls_are_retried_with_increasing_backoff():
     harness = PolicyHarness(endpoint_count=0, polls_discovery=True)
     delays_ms = []
     for _ in range(6):
--- a/tests/policy/test_endpoint_set.py
+++ b/tests/policy/test_endpoint_set.py
@@ -1,4 +1,4 @@
-"""Membership updates, and what is forgotten of an endpoint by them."""
+"""Membership updates and load reports, as the state of endpoints shows them."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.REMOVED])
-def test_no_request_is_sent_to_a_draining_or_removed_endpoint(state):
+def test_draining_or_removed_endpoint_gets_no_attempt(state):
     harness = PolicyHarness(endpoint_count=3)
     harness.list_endpoints(Endpoint("s1", "b", state=state), kind=UpdateKind.DELTA)
     assert "s1" not in {harness.serve() for _ in range(12)}
 
 
-def test_an_endpoint_absent_from_a_complete_list_is_removed():
+def test_endpoint_absent_from_a_complete_list_is_removed():
     harness = PolicyHarness(endpoint_count=3)
     harness.list_endpoints(*build_endpoints(2))
     assert "s2" not in {harness.serve() for _ in range(12)}
 
 
-def test_the_list_stays_in_force_while_discovery_is_unavailable():
+def test_list_remains_in_use_while_discovery_is_unavailable():
     harness = PolicyHarness(endpoint_count=2, polls_discovery=True)
     harness.handle(MembershipUpdate(UpdateKind.UNAVAILABLE))
     assert harness.submit().is_sent
 
 
-def test_a_restarted_endpoint_is_warming_up_and_nothing_is_known_of_it():
+def test_restarted_endpoint_is_warming_up_and_has_no_measurements():
     harness = PolicyHarness(endpoint_count=2)
     for _ in range(6):
         harness.serve()
@@ -44,14 +44,14 @@
     assert [harness.serve(latency_ms=1.0) for _ in range(20)].count("s0") < 10
 
 
-def test_a_load_report_has_the_values_that_the_policy_uses():
+def test_load_report_has_the_values_that_the_policy_uses():
     values = {"inflight": 9.0, "queue": 3.0, "util": 0.5, "latency_ms": 12.0, "qps": 80.0, "eps": 0.0}
     assert LoadReport.from_values(values) == LoadReport(in_flight=9.0, queue=3.0, utilisation=0.5)
     assert LoadReport.from_values({"eps": 0.0}) == LoadReport()
     assert LoadReport.from_values({}) is None
 
 
-def test_a_load_report_without_a_utilisation_leaves_the_last_one():
+def test_load_report_without_a_utilisation_retains_the_previous_one():
     harness = PolicyHarness()
     harness.report_load("s0", utilisation=0.5)
     harness.report_load("s0", queue=2.0)
@@ -59,16 +59,16 @@
     assert (endpoint.utilisation, endpoint.reported_queue) == (0.5, 2.0)
 
 
-def test_reported_calls_in_flight_count_as_a_queue_less_those_from_here():
+def test_reported_requests_in_flight_of_other_replicas_count_as_a_queue():
     harness = PolicyHarness(endpoint_count=1)
     harness.submit()
     harness.report_load("s0", in_flight=4.0)
     assert harness.tracked("s0").reported_queue == 3.0
 
 
-def test_a_rejection_counts_as_the_report_of_a_queue():
+def test_rejection_counts_as_the_report_of_a_queue():
     harness = PolicyHarness(endpoint_count=1)
     first, _, _ = [harness.submit() for _ in range(3)]
-    harness.finish(first.request_id, "s0", AttemptResult.REJECTED, 1.0, done=True)
+    harness.finish(first, AttemptResult.REJECTED, 1.0, done=True)
     endpoint = harness.tracked("s0")
     assert (endpoint.reported_queue, endpoint.reported_ms) == (2.0, harness.now_ms)
--- a/tests/policy/test_invariants.py
+++ b/tests/policy/test_invariants.py
@@ -1,4 +1,4 @@
-"""The invariants of the policy over random legal sequences of events, against a model of the rules."""
+"""The invariants of the policy over random legal sequences of events, checked by a model of the rules."""
 
 from __future__ import annotations
 
@@ -18,24 +18,26 @@
     initial_endpoints,
 )
 
-SUBMIT = st.tuples(st.just("submit"), st.integers(0, 6), st.floats(1.0, 2500.0))
-FINISH = st.tuples(st.just("finish"), st.integers(0, 40), st.sampled_from(list(AttemptResult)), st.booleans())
+SUBMIT = st.tuples(st.just(CheckedPolicy.submit), st.integers(0, 6), st.floats(1.0, 2500.0))
+FINISH = st.tuples(
+    st.just(CheckedPolicy.finish), st.integers(0, 40), st.sampled_from(list(AttemptResult)), st.booleans()
+)
 EVENTS = st.one_of(
     SUBMIT,
     SUBMIT,
     FINISH,
     FINISH,
-    st.tuples(st.just("disconnect"), st.integers(0, 40)),
-    st.tuples(st.just("start_response"), st.integers(0, 5)),
+    st.tuples(st.just(CheckedPolicy.disconnect), st.integers(0, 40)),
+    st.tuples(st.just(CheckedPolicy.start_response), st.integers(0, 5)),
     st.tuples(
-        st.just("update_membership"),
+        st.just(CheckedPolicy.update_membership),
         st.sampled_from([kind for kind in UpdateKind if kind is not UpdateKind.CACHED]),
         st.integers(0, 11),
         st.sampled_from(list(EndpointState)),
         st.booleans(),
     ),
-    st.tuples(st.just("fire_timer"), st.sampled_from(["period", "watch", "other"])),
-    st.tuples(st.just("wait"), st.floats(0.0, 600.0)),
+    st.tuples(st.just(CheckedPolicy.fire_timer), st.sampled_from(["period", "watch", "other"])),
+    st.tuples(st.just(CheckedPolicy.wait), st.floats(0.0, 600.0)),
 )
 
 
@@ -46,14 +48,14 @@
     can_cancel=st.booleans(),
     events=st.lists(EVENTS, min_size=10, max_size=120),
 )
-def test_the_rules_hold_over_any_legal_sequence_of_events(
+def test_rules_hold_over_any_legal_sequence_of_events(
     seed: int, max_attempts: int, can_cancel: bool, events: list[tuple[Any, ...]]
 ) -> None:
     checked = CheckedPolicy(seed, max_attempts, can_cancel=can_cancel)
     checked.handle(MembershipUpdate(UpdateKind.CACHED, initial_endpoints()))
-    for name, *arguments in events:
-        getattr(checked, name)(*arguments)
-    for _ in range(600):  # in the end every attempt ends, as the wire promises
+    for happen, *arguments in events:
+        happen(checked, *arguments)
+    for _ in range(600):  # every attempt ends at last, as the wire guarantees
         if not any(request.in_flight() for request in checked.requests.values()):
             break
         checked.wait(1.0)
@@ -64,8 +66,8 @@
 
 @settings(derandomize=True, max_examples=30, deadline=None)
 @given(seed=st.integers(0, 2**32), replicas=st.integers(1, 40), gap_ms=st.floats(1.0, 30.0))
-def test_all_replicas_together_keep_a_warming_endpoint_within_its_budget(seed, replicas, gap_ms):
-    """In any window it gets less than the overload factor times its current share of a warmed up one's."""
+def test_all_replicas_together_do_not_overload_a_warming_endpoint(seed, replicas, gap_ms):
+    """In any window it gets less than the overload factor times the attempts due to its current capacity."""
     warmed_up = 12
     listed = tuple(Endpoint(f"s{index}", "a", 0) for index in range(warmed_up))
     checked_policies = [CheckedPolicy(seed + index, 2, can_cancel=True) for index in range(replicas)]
@@ -86,6 +88,6 @@
         while sent_ms and sent_ms[0] <= checked.now_ms - OVERLOAD_WINDOW_MS:
             sent_ms.popleft()
         ramp = min(1.0, index * gap_ms / SLOW_START_MS)
-        share = INITIAL_FRACTION + (1.0 - INITIAL_FRACTION) * ramp
-        mean_calls = share * (OVERLOAD_WINDOW_MS / gap_ms) / (warmed_up + 1)
-        assert len(sent_ms) <= OVERLOAD_FACTOR * mean_calls + 3.0 * mean_calls**0.5 + 2.0
+        capacity = INITIAL_FRACTION + (1.0 - INITIAL_FRACTION) * ramp
+        mean_attempts = capacity * (OVERLOAD_WINDOW_MS / gap_ms) / (warmed_up + 1)
+        assert len(sent_ms) <= OVERLOAD_FACTOR * mean_attempts + 3.0 * mean_attempts**0.5 + 2.0
--- /dev/null
+++ b/tests/policy/test_latency_baseline.py
@@ -0,0 +1,93 @@
+"""The load signal of latency: the quiet baseline, the target and saturation, as the cursor shows them."""
+
+from __future__ import annotations
+
+import pytest
+
+from loadbalancer.events import AttemptResult, ClientDisconnected
+from tests.support.builders import PolicyHarness
+
+
+def test_one_slow_response_in_a_period_does_not_move_the_cursor():
+    """Guard: in quiet pools a single slow response moved the cursor right, and requests were rejected."""
+    harness = PolicyHarness()
+    for _ in range(3):
+        harness.end_loaded_period(200.0)
+    harness.end_loaded_period(900.0, count=1)
+    assert harness.cursor == 0
+
+
+@pytest.mark.parametrize(("in_flight", "cursor"), [(0, 0), (30, 1)])
+def test_latency_target_is_stricter_while_endpoints_may_be_congested(in_flight, cursor):
+    """Guard: chance in a small number of latencies shed load that endpoints had capacity for."""
+    harness = PolicyHarness(endpoint_count=4, replicas=1)
+    for _ in range(30):
+        harness.serve(latency_ms=300.0)
+    harness.end_period()
+    for _ in range(in_flight):
+        harness.submit()
+    for _ in range(2):
+        for _ in range(12):
+            harness.serve(latency_ms=450.0)
+        harness.end_period()
+    assert harness.cursor == cursor
+
+
+def test_cancelled_attempts_slower_than_the_mean_count_in_the_latency():
+    """Guard: only fast attempts remained to estimate from, and a congested pool looked fast."""
+    harness = PolicyHarness(endpoint_count=4)
+    for _ in range(30):
+        harness.serve(latency_ms=300.0)
+    harness.end_period()
+    before = harness.policy.latency.fraction
+    for _ in range(8):
+        request = harness.submit()
+        harness.advance(700.0)
+        harness.handle(ClientDisconnected(request.request_id))
+        harness.finish(request, AttemptResult.CANCELLED, 700.0, done=True)
+    harness.end_period()
+    assert harness.policy.latency.fraction > before
+
+
+def test_cursor_moves_right_without_responses_while_latency_is_saturated():
+    """Guard: with one response in two periods the cursor moved left in the other one; congestion stayed."""
+    harness = PolicyHarness(endpoint_count=2)
+    for _ in range(20):
+        harness.serve(latency_ms=50.0)
+    harness.end_period()
+    for _ in range(6):
+        harness.end_loaded_period(950.0, count=12)
+    high = harness.cursor
+    harness.submit()
+    harness.end_period()
+    assert harness.cursor == high + 1
+
+
+def test_saturated_latency_does_not_wait_for_outcomes():
+    """Guard: a move right waits for a number of outcomes; saturated latency bypasses the wait."""
+    harness = PolicyHarness()
+    harness.end_loaded_period(200.0)
+    for _ in range(4):
+        harness.end_loaded_period(950.0)
+    before = harness.cursor
+    for moves in range(1, 4):
+        harness.end_loaded_period(950.0, count=3)
+        assert harness.cursor == before + moves
+
+
+def test_cursor_moves_left_without_responses_or_attempts_in_flight():
+    harness = PolicyHarness(endpoint_count=2)
+    harness.move_cursor_to(3)
+    harness.end_period()
+    assert harness.cursor == 2
+
+
+def test_one_fast_first_response_does_not_set_the_quiet_baseline():
+    harness = PolicyHarness()
+    harness.serve(latency_ms=200.0)  # a fifth of the objective; this idle pool's usual latency is 350 ms
+    harness.end_period()
+    for _ in range(40):
+        for _ in range(3):
+            harness.serve(latency_ms=350.0)
+        harness.end_period()
+    assert harness.cursor == 0
--- a/tests/policy/test_package_rules.py
+++ b/tests/policy/test_package_rules.py
@@ -18,22 +18,22 @@
 ALLOWED_OWN = {"actions", "events", "settings", "discovery.watch_timing"}
 
 
-def test_the_deploy_file_lists_each_file_of_the_package():
+def test_deploy_file_lists_each_file_of_the_package():
     assert len(set(LISTED)) == len(LISTED)
     assert set(LISTED) == {str(file.relative_to(ROOT)) for file in PACKAGE.rglob("*.py")}
 
 
-def test_lines_have_at_most_110_characters():
+def test_lines_are_limited_to_110_characters():
     lines = [line for text in TEXTS.values() for line in text.splitlines()]
     assert max(len(line) for line in lines) <= 110
 
 
-def test_the_first_module_names_its_interface_file_at_the_top():
+def test_first_module_names_its_interface_file_at_the_top():
     assert LISTED[0] == "loadbalancer/policy/policy.py"
     assert "loadbalancer/events.py" in TEXTS[LISTED[0]].split('"""')[1]
 
 
-def test_every_named_constant_is_used():
+def test_every_constant_is_used():
     used = {
         node.id
         for tree in TREES.values()
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize("name", LISTED)
-def test_the_module_reads_no_clock_no_environment_and_no_files(name):
+def test_module_reads_no_clock_no_environment_and_no_files(name):
     imports = set(re.findall(r"^(?:from|import) (\w+)", TEXTS[name], flags=re.MULTILINE))
     assert imports <= {"__future__", "math", "collections", "dataclasses", "random", "loadbalancer"}
     own = set(re.findall(r"^(?:from|import) loadbalancer\.([\w.]+)", TEXTS[name], flags=re.MULTILINE))
--- a/tests/policy/test_policy.py
+++ b/tests/policy/test_policy.py
@@ -1,4 +1,4 @@
-"""The policy as a whole: it decides by its events and its seed alone."""
+"""The policy as a whole: its actions depend on its events and its seed only."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from tests.support.builders import PolicyHarness
 
 
-def test_same_events_give_same_actions():
+def test_same_events_cause_the_same_actions():
     def run() -> list[list[Action]]:
         harness = PolicyHarness(endpoint_count=6)
         actions = []
@@ -16,7 +16,7 @@
             actions.append(request.actions)
             if request.is_sent:
                 result = list(AttemptResult)[index % 8]
-                actions.append(harness.finish(request.request_id, request.endpoint, result, 50.0 + index))
+                actions.append(harness.finish(request, result, 50.0 + index))
             actions.append(harness.end_period(20.0))
         return actions
 
--- a/tests/policy/test_settings.py
+++ b/tests/policy/test_settings.py
@@ -8,24 +8,31 @@
 from tests.support.builders import IDEMPOTENT_READ
 
 
-def test_a_bad_setting_is_named():
-    with pytest.raises(ValueError, match="replicas"):
-        Settings(classes=(IDEMPOTENT_READ,), replicas=0)
-    with pytest.raises(ValueError, match="classes"):
-        Settings(classes=())
-    with pytest.raises(ValueError, match=r"classes\[0\].latency_objective_ms"):
-        Settings(classes=(ServiceClass("x", latency_objective_ms=-1, client_timeout_ms=1),))
-    with pytest.raises(ValueError, match="slow_start_ms"):
-        Settings(classes=(IDEMPOTENT_READ,), slow_start_ms=float("nan"))
+@pytest.mark.parametrize(
+    ("fields", "path"),
+    [
+        pytest.param({"replicas": 0}, "replicas", id="below its minimum"),
+        pytest.param({"classes": ()}, "classes", id="no class"),
+        pytest.param(
+            {"classes": (ServiceClass("x", latency_objective_ms=-1, client_timeout_ms=1),)},
+            r"classes\[0\].latency_objective_ms",
+            id="in a class",
+        ),
+        pytest.param({"slow_start_ms": float("nan")}, "slow_start_ms", id="not a number"),
+    ],
+)
+def test_error_names_the_bad_setting(fields, path):
+    with pytest.raises(ValueError, match=path):
+        Settings(**{"classes": (IDEMPOTENT_READ,), **fields})
 
 
 @pytest.mark.parametrize(("field", "value"), [("can_cancel", "yes"), ("zone", 3), ("max_attempts", "2")])
-def test_a_setting_of_the_wrong_type_is_named_with_its_value(field, value):
+def test_error_names_a_setting_of_the_wrong_type_and_its_value(field, value):
     with pytest.raises(ValueError, match=f"{field}: {value!r}"):
         Settings(classes=(IDEMPOTENT_READ,), **{field: value})
 
 
-def test_the_error_has_the_field_at_fault():
+def test_error_has_the_field_at_fault():
     with pytest.raises(ConfigurationError) as raised:
         Settings(classes=(IDEMPOTENT_READ, IDEMPOTENT_READ))
     assert raised.value.field == "classes"
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: what warming endpoints get, from one replica and from all together."""
+"""Slow start: the attempts that warming endpoints get, from one replica and from all together."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from tests.support.builders import PolicyHarness, build_endpoints
 
 
-def test_a_warming_endpoint_gets_its_current_share():
+def test_warming_endpoint_gets_attempts_by_its_current_capacity():
     harness = PolicyHarness(endpoint_count=4)
     warming = Endpoint("warming", "a", started_ms=harness.now_ms)
     harness.list_endpoints(warming, kind=UpdateKind.DELTA)
@@ -21,8 +21,8 @@
     assert 0 < counts["warming"] <= 0.5 * per_warmed_up
 
 
-def test_all_replicas_together_keep_a_warming_endpoint_to_its_share():
-    """Guard: one call a window from each of many replicas summed to an overload at full size."""
+def test_all_replicas_together_limit_a_warming_endpoint_to_its_current_capacity():
+    """Guard: one attempt per window from each of many replicas added up to an overload."""
     replicas, warmed_up = 120, 20
     warming = Endpoint("warming", "a", started_ms=1000.0)
     harnesses = []
@@ -35,19 +35,19 @@
     assert 0 < selected.count("warming") <= 2.5 * 0.2 * mean
 
 
-def test_a_pool_that_is_all_warming_up_serves_a_part():
+def test_pool_that_is_all_warming_up_serves_some_requests():
     harness = PolicyHarness(endpoint_count=0)
     harness.list_endpoints(*build_endpoints(20, started_ms=harness.now_ms))
     sent = sum(harness.submit().is_sent for _ in range(100))
     assert 10 <= sent <= 70
 
 
-def test_client_retries_beyond_the_usual_rate_give_a_warming_pool_no_more():
-    """Guard: each retry of a rejected client got a new draw; the pool took a multiple of what it bears."""
+def test_client_retries_over_the_usual_rate_add_no_attempts_at_a_warming_pool():
+    """Guard: each retry of a rejected client got a new draw; the pool got several times its capacity."""
     served = []
     for max_tries in (1, 6):
         harness = PolicyHarness(endpoint_count=20, replicas=1, slow_start_initial_fraction=0.1)
-        for index in range(300):  # 50 calls a second, for 6 s
+        for index in range(300):  # 50 requests per second, for 6 s
             harness.serve(latency_ms=20.0)
             if index % 7 == 0:
                 harness.end_period(0.0)
@@ -60,20 +60,20 @@
 
 
 def serve_with_client_retries(harness: PolicyHarness, max_tries: int) -> bool:
-    """One client that comes again at once when it is rejected; whether it was served."""
+    """Whether a client that retries at once after each rejection is served."""
     served = False
     for _ in range(max_tries):
         request = harness.submit()
         if request.is_sent:
-            harness.finish(request.request_id, request.endpoint, AttemptResult.OK, 20.0)
+            harness.finish(request, AttemptResult.OK, 20.0)
             served = True
             break
     harness.advance(20.0)
     return served
 
 
-def test_idle_warming_endpoints_carry_their_part_while_the_others_are_congested():
-    """Guard: with six of ten new, 2 calls a second reached them, and the four others were saturated."""
+def test_warming_endpoints_get_attempts_by_capacity_while_the_others_are_congested():
+    """Guard: with six of ten new, these got 2 attempts per second, and the four others were saturated."""
     harness = PolicyHarness(endpoint_count=0, replicas=10)
     started_ms = harness.now_ms - 5000.0
     warming = [Endpoint(f"new{index}", "a", started_ms=started_ms) for index in range(6)]
@@ -82,9 +82,9 @@
     for index in range(400):
         request = harness.submit()
         report = None if request.endpoint.startswith("new") else LoadReport(in_flight=20.0)
-        harness.finish(request.request_id, request.endpoint, AttemptResult.OK, 100.0, load_report=report)
+        harness.finish(request, AttemptResult.OK, load_report=report)
         selected.append(request.endpoint)
         if index % 5 == 0:
             harness.end_period(0.0)
-    warming_share = sum(name.startswith("new") for name in selected) / len(selected)
-    assert 0.35 <= warming_share <= 0.9  # 47% of the pool's current capacity is theirs
+    warming_fraction = sum(name.startswith("new") for name in selected) / len(selected)
+    assert 0.35 <= warming_fraction <= 0.9  # they have 47% of the pool's current capacity
--- a/tests/simulator/test_load_reports.py
+++ b/tests/simulator/test_load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports in response headers that can't be parsed."""
+"""Load reports in response headers: malformed ones are ignored."""
 
 from __future__ import annotations
 
@@ -8,13 +8,7 @@
 
 from loadbalancer.events import LoadReport
 from loadbalancer.platform_settings import parse_load_report
-from tests.support.loopback import (
-    LoopbackServer,
-    reply,
-    request,
-    running_proxy,
-    send_request,
-)
+from tests.support.loopback import LoopbackServer, reply, request, running_proxy, send_request
 
 MALFORMED_REPORTS = """{"
 %%%
@@ -37,11 +31,8 @@
     assert parse_load_report("TEXT inflight=7, queue=3, util=0.61", ("queue",)) == LoadReport(queue=3.0)
 
 
-def test_response_with_a_malformed_load_report_is_forwarded():
-    async def main():
-        server = LoopbackServer(lambda message: asyncio.sleep(0, reply(200, Srv_Load='{"')))
-        async with running_proxy(server) as proxy:
-            assert (await send_request(proxy, request())).status == 200
-            assert proxy.policy.endpoints.by_name["s0"].reported_queue == 0.0
-
-    asyncio.run(main())
+async def test_response_with_a_malformed_load_report_is_forwarded():
+    server = LoopbackServer(lambda message: asyncio.sleep(0, reply(200, Srv_Load='{"')))
+    async with running_proxy(server) as proxy:
+        assert (await send_request(proxy, request())).status == 200
+        assert proxy.policy.endpoints.by_name["s0"].reported_queue == 0.0
--- a/tests/simulator/test_platform_settings.py
+++ b/tests/simulator/test_platform_settings.py
@@ -1,4 +1,4 @@
-"""The platform's JSON settings, read into the policy's."""
+"""The platform's JSON settings, translated to the policy's settings."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tests.simulator.wire_messages import CONFIG
 
 
-def test_absent_settings_take_their_defaults():
+def test_absent_settings_have_their_defaults():
     settings = parse_settings({"categories": CONFIG["categories"][:1]})
     assert settings.replicas == 1
     assert settings.tenants == ()
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize("key", ["name", "aimMs", "giveUpMs"])
-def test_a_missing_setting_is_named(key):
+def test_error_names_a_missing_setting(key):
     category = {name: value for name, value in CONFIG["categories"][0].items() if name != key}
     with pytest.raises(ValueError, match=f"categories.{key}: missing"):
         parse_settings({"categories": [category]})
@@ -39,16 +39,18 @@
         ({"accounts": [{"name": "t", "quotaPerS": 1}] * 2}, "accounts"),
     ],
 )
-def test_a_bad_setting_is_named_by_the_platforms_key(config, field):
+def test_error_names_the_platforms_key_of_a_bad_setting(config, field):
     with pytest.raises(ConfigurationError) as raised:
         parse_settings(CONFIG | config)
     assert raised.value.field == field
 
 
-def test_the_kind_of_listed_capacities_decides_whether_they_are_used():
-    """Guard: in-flight counts were reported, and not read."""
+@pytest.mark.parametrize(
+    ("weights", "uses_capacity"), [("nominal", True), ("rough", True), ("live", False), ("off", False)]
+)
+def test_listed_capacities_are_used_unless_they_depend_on_load(weights, uses_capacity):
+    """Guard: requests in flight were reported and not read."""
     feedback = {"fields": ["err_ps", "concurrent"], "via": "inline"}
-    for weights, uses_capacity in (("nominal", True), ("rough", True), ("live", False), ("off", False)):
-        settings = parse_settings(CONFIG | {"feedback": feedback, "weights": weights})
-        assert settings.uses_capacity is uses_capacity
-        assert settings.load_report_fields == ("eps", "inflight")
+    settings = parse_settings(CONFIG | {"feedback": feedback, "weights": weights})
+    assert settings.uses_capacity is uses_capacity
+    assert settings.load_report_fields == ("eps", "inflight")
--- a/tests/simulator/test_simulator_adapter.py
+++ b/tests/simulator/test_simulator_adapter.py
@@ -27,11 +27,11 @@
 ROOT = Path(__file__).parents[2]
 
 
-def test_an_empty_batch_is_answered():
+def test_empty_batch_has_a_reply():
     assert run_batches(batch(8412.25, 1)) == [{"kind": "READY", "seq": 1}]
 
 
-def test_a_first_batch_subscribes_and_sends():
+def test_first_batch_starts_the_watch_and_sends_an_attempt():
     replies = run_batches(batch(1000.0, 1, catalog(), *start(), request("q1")))
     assert replies[-1] == {"kind": "READY", "seq": 1}
     assert len(of_kind(replies, "OBSERVE")) == 1
@@ -43,19 +43,19 @@
     assert 0 < sent["timeoutMs"] <= 1000.0
 
 
-def test_a_catalog_reference_is_reused_in_the_order_of_events():
+def test_later_catalog_replaces_an_earlier_one_of_the_same_reference():
     adapter = SimulatorAdapter()
     adapter.now_ms = BATCH_TIME_MS
     handle_all(adapter, catalog(0, 2), *start(0), catalog(0, 5), *start(1))
     assert [len(adapter.hosted[node].policy.endpoints.by_name) for node in (0, 1)] == [2, 5]
 
 
-def test_a_restart_in_one_batch_forgets_all_requests():
+def test_restart_in_one_batch_discards_all_requests():
     adapter = started_adapter(request("q"), {"kind": "STOP", "node": 0}, *start())
     assert adapter.hosted[0].policy.requests.open_requests == {}
 
 
-def test_many_nodes_in_one_process_act_as_in_several():
+def test_nodes_in_one_process_act_as_in_separate_ones():
     def events(node: int) -> list[WireMessage]:
         service_classes = ("read", "post", "points")
         requests = [request(f"n{node}-{index}", node, service_classes[index % 3]) for index in range(30)]
@@ -81,18 +81,18 @@
         {"kind": "NONSENSE", "node": 3},
     ],
 )
-def test_a_failure_at_a_node_is_its_panic(event, capsys):
+def test_failure_at_a_node_is_its_panic(event, capsys):
     replies = SimulatorAdapter().handle(event)
     assert [(reply["kind"], reply["node"]) for reply in replies] == [("PANIC", 3)]
     assert replies[0]["bodyText"]
     assert capsys.readouterr().out == ""
 
 
-def test_an_unknown_kind_of_event_at_a_running_node_is_its_panic():
+def test_unknown_kind_of_event_at_a_running_node_is_its_panic():
     assert started_adapter().handle({"kind": "NONSENSE", "node": 0})[0]["kind"] == "PANIC"
 
 
-def test_a_request_of_an_unknown_class_is_a_panic_not_a_guess():
+def test_request_of_an_unknown_class_is_a_panic():
     assert started_adapter().handle(request("q", service_class="unheard of"))[0]["kind"] == "PANIC"
 
 
@@ -103,7 +103,7 @@
         (outcome("q", "10.0.0.0:1", 42, done=False), "rc: 42"),
     ],
 )
-def test_a_panic_names_the_event_and_the_bad_value(event, problem):
+def test_panic_names_the_event_and_the_bad_value(event, problem):
     (reply,) = started_adapter().handle(event)
     assert reply["kind"] == "PANIC"
     assert event["kind"] in reply["bodyText"]
@@ -116,23 +116,23 @@
 @pytest.mark.parametrize(
     ("lines", "fault"),
     [
-        (b"not json\n", WireFault.NOT_JSON),
-        (b"[1]\n", WireFault.NOT_AN_OBJECT),
-        (b'{"kind":"GO"}\n', WireFault.OUTSIDE_BATCH),
-        (FRAME + b'{"kind":"ALARM"}\n', WireFault.NO_NODE),
-        (FRAME + b'{"kind":"CATALOG","ref":0}\n', WireFault.BAD_CATALOG),
-        (FRAME + FRAME, WireFault.NESTED_BATCH),
-        (b'{"kind":"FRAME","seq":1}\n', WireFault.BAD_BATCH_START),
-        (FRAME, WireFault.UNFINISHED_BATCH),
+        pytest.param(b"not json\n", WireFault.NOT_JSON, id="not JSON"),
+        pytest.param(b"[1]\n", WireFault.NOT_AN_OBJECT, id="not an object"),
+        pytest.param(b'{"kind":"GO"}\n', WireFault.OUTSIDE_BATCH, id="outside a batch"),
+        pytest.param(FRAME + b'{"kind":"ALARM"}\n', WireFault.NO_NODE, id="no node"),
+        pytest.param(FRAME + b'{"kind":"CATALOG","ref":0}\n', WireFault.BAD_CATALOG, id="bad catalog"),
+        pytest.param(FRAME + FRAME, WireFault.NESTED_BATCH, id="nested batch"),
+        pytest.param(b'{"kind":"FRAME","seq":1}\n', WireFault.BAD_BATCH_START, id="bad start of a batch"),
+        pytest.param(FRAME, WireFault.UNFINISHED_BATCH, id="unfinished batch"),
     ],
 )
-def test_bad_input_is_an_error_that_says_its_fault(lines, fault):
+def test_bad_input_is_an_error_with_its_fault(lines, fault):
     with pytest.raises(WireError, match=fault.value) as raised:
         run(io.BytesIO(lines), io.BytesIO())
     assert raised.value.fault is fault
 
 
-def test_the_process_exits_with_0_at_the_end_of_input_and_with_one_line_on_bad_input():
+def test_process_exits_with_0_at_the_end_of_input_and_logs_one_line_on_bad_input():
     command = [sys.executable, "-m", "loadbalancer.simulator_adapter"]
     good = subprocess.run(command, input=batch(1.0, 1), capture_output=True, cwd=ROOT, check=False)
     assert (good.returncode, good.stdout, good.stderr) == (0, b'{"kind":"READY","seq":1}\n', b"")
--- a/tests/simulator/test_simulator_wire.py
+++ b/tests/simulator/test_simulator_wire.py
@@ -1,4 +1,4 @@
-"""The simulator's messages, as the policy receives them and its actions answer them."""
+"""The simulator's messages, as the policy receives them and its actions return as messages."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize(
-    ("service_class", "code", "answer"),
+    ("service_class", "code", "reply_kind"),
     [
         ("read", 255, "ISSUE"),
         ("post", 255, "FINISH_ERROR"),
@@ -23,13 +23,14 @@
         ("points", 255, "ISSUE"),
     ],
 )
-def test_the_answer_to_an_outcome_depends_on_its_code_and_the_idempotency(service_class, code, answer):
+def test_reply_to_an_outcome_depends_on_its_code_and_the_idempotency(service_class, code, reply_kind):
     adapter = started_adapter()
     endpoint = send_request(adapter, "q", service_class)
-    assert [reply["kind"] for reply in adapter.handle(outcome("q", endpoint, code, done=False))] == [answer]
+    replies = adapter.handle(outcome("q", endpoint, code, done=False))
+    assert [reply["kind"] for reply in replies] == [reply_kind]
 
 
-def test_outcomes_and_disconnects_of_an_ended_request_are_not_answered():
+def test_outcomes_and_disconnects_of_an_ended_request_have_no_reply():
     adapter = started_adapter()
     endpoint = send_request(adapter, "q")
     disconnect = {"kind": "LAPSED", "node": 0, "txn": "q"}
@@ -38,7 +39,7 @@
     assert adapter.handle(outcome("q", endpoint, 0, done=True, load_report=[3, 0.5])) == []
 
 
-def test_load_reports_reach_the_policy_in_the_order_of_the_settings():
+def test_load_reports_are_read_in_the_order_of_the_settings():
     adapter = started_adapter()
     endpoint = send_request(adapter, "q")
     adapter.handle(outcome("q", endpoint, 0, done=True, load_report=[3, None]))
@@ -47,7 +48,7 @@
     assert state.utilisation is None
 
 
-def test_each_form_of_a_membership_update():
+def test_each_form_of_a_membership_update_is_applied():
     adapter = started_adapter()
     update = {"kind": "MEMBERSHIP", "node": 0}
     failed = adapter.handle(update | {"form": "failed", "generation": 2, "ref": None})
@@ -62,24 +63,26 @@
     assert list(adapter.hosted[0].policy.endpoints.by_name) == ["10.0.0.0:1"]
 
 
-def test_events_without_an_answer_are_accepted():
+def test_events_without_a_reply_are_accepted():
     adapter = started_adapter()
-    answered = {"node": 0, "latencyMs": 1.0, "server": "10.0.0.1:1"}
+    of_endpoint = {"node": 0, "latencyMs": 1.0, "server": "10.0.0.1:1"}
     events = [
         {"kind": "PEER", "node": 0, "by": 1, "contents": "aGk="},
-        answered | {"kind": "HEALTH", "rc": 0, "telemetry": [4, 0.2]},
-        answered | {"kind": "FIRST", "txn": "unknown", "attempt": 0},
+        of_endpoint | {"kind": "HEALTH", "rc": 0, "telemetry": [4, 0.2]},
+        of_endpoint | {"kind": "FIRST", "txn": "unknown", "attempt": 0},
         {"kind": "ALARM", "node": 0, "name": "not ours"},
     ]
     assert [adapter.handle(event) for event in events] == [[], [], [], []]
     assert adapter.hosted[0].policy.endpoints.by_name["10.0.0.1:1"].reported_queue == 4
 
 
-def test_listed_capacities_reach_the_policy():
+def test_listed_capacity_reaches_the_policy():
     """Guard: capacities were sent and not read."""
     target = {"uid": "s0", "endpoint": "127.0.0.1:9", "state": "Ready", "capacity_hint": 2.5}
     assert parse_endpoint_list({"rev": 1, "all": True, "targets": [target]}).endpoints[0].capacity == 2.5
-    entry = {"server": "s0", "stageState": "up", "powerHint": 2.5}
-    assert read_endpoint(entry).capacity == 2.5
-    for unusable in (None, 0, -1.0, "4", True):
-        assert read_endpoint(entry | {"powerHint": unusable}).capacity == 1.0
+    assert read_endpoint({"server": "s0", "stageState": "up", "powerHint": 2.5}).capacity == 2.5
+
+
+@pytest.mark.parametrize("unusable", [None, 0, -1.0, "4", True])
+def test_unusable_capacity_is_read_as_1(unusable):
+    assert read_endpoint({"server": "s0", "stageState": "up", "powerHint": unusable}).capacity == 1.0
--- a/tests/simulator/wire_messages.py
+++ b/tests/simulator/wire_messages.py
@@ -1,4 +1,4 @@
-"""Builders for messages on the simulator's wire, and ways to put them to an adapter."""
+"""Builders for messages on the simulator's wire, and functions that deliver them to an adapter."""
 
 from __future__ import annotations
 
@@ -109,12 +109,12 @@
 
 
 def handle_all(adapter: SimulatorAdapter, *events: WireMessage) -> list[WireMessage]:
-    """Put the events to the adapter and return all replies."""
+    """Deliver the events to the adapter and return all replies."""
     return [reply for event in events for reply in adapter.handle(event)]
 
 
 def started_adapter(*events: WireMessage) -> SimulatorAdapter:
-    """An adapter whose node 0 runs, with three endpoints, and has had these events."""
+    """An adapter whose node 0 runs with three endpoints and has received these events."""
     adapter = SimulatorAdapter()
     adapter.now_ms = BATCH_TIME_MS
     handle_all(adapter, catalog(), *start(), *events)
@@ -122,7 +122,7 @@
 
 
 def send_request(adapter: SimulatorAdapter, request_id: str, service_class: str = "read") -> str:
-    """Put a request to node 0 and return the endpoint that it was sent to."""
+    """Deliver a request to node 0 and return the endpoint of its attempt."""
     (sent,) = of_kind(adapter.handle(request(request_id, service_class=service_class)), "ISSUE")
     endpoint: str = sent["server"]
     return endpoint
--- a/tests/support/builders.py
+++ b/tests/support/builders.py
@@ -1,4 +1,4 @@
-"""Builders that tests of the policy share: classes, settings, endpoints and a policy in model time."""
+"""Builders for tests of the policy: classes, settings, endpoints and a policy in model time."""
 
 from __future__ import annotations
 
@@ -65,7 +65,7 @@
 
 
 def build_endpoints(count: int, **fields: Any) -> tuple[Endpoint, ...]:
-    """Endpoints `s0`, `s1` and so on, in turn in zones `a` and `b`."""
+    """Endpoints `s0`, `s1` and so on, alternately in zones `a` and `b`."""
     return tuple(Endpoint(name=f"s{index}", zone="ab"[index % 2], **fields) for index in range(count))
 
 
@@ -79,7 +79,7 @@
 
 
 def sends(actions: list[Action]) -> list[Send]:
-    """The attempts that are sent by these actions."""
+    """The attempts that these actions send."""
     return [action for action in actions if isinstance(action, Send)]
 
 
@@ -90,7 +90,7 @@
 
 @dataclass(frozen=True)
 class SubmittedRequest:
-    """A request that a policy has taken, and what it did at once."""
+    """A request that a policy has received, and the actions that it returned."""
 
     request_id: str
     actions: list[Action]
@@ -127,11 +127,11 @@
         self.list_endpoints(*build_endpoints(endpoint_count), kind=UpdateKind.CACHED)
 
     def handle(self, event: Event) -> list[Action]:
-        """Give the policy an event at the present time."""
+        """Give the policy an event at the current time."""
         return self.policy.handle(self.now_ms, event)
 
     def advance(self, duration_ms: float) -> None:
-        """Let time pass without an event."""
+        """Advance the time without an event."""
         self.now_ms += duration_ms
 
     def list_endpoints(self, *endpoints: Endpoint, kind: UpdateKind = UpdateKind.COMPLETE) -> list[Action]:
@@ -150,35 +150,48 @@
 
     def finish(
         self,
-        request_id: str,
-        endpoint: str,
+        request: SubmittedRequest,
         result: AttemptResult,
         latency_ms: float = 100.0,
         attempt: int = 0,
+        *,
+        endpoint: str | None = None,
         **fields: Any,
     ) -> list[Action]:
-        """Give the policy the outcome of an attempt; the request is done by a success, if not told."""
-        done = fields.pop("done", result is AttemptResult.OK)
-        return self.handle(AttemptOutcome(request_id, attempt, endpoint, result, latency_ms, done, **fields))
+        """Give the policy the outcome of an attempt, by default of the only one at its endpoint.
+
+        By default a success ends the request, and no other result does.
+        """
+        return self.handle(
+            AttemptOutcome(
+                request.request_id,
+                attempt,
+                request.endpoint if endpoint is None else endpoint,
+                result,
+                latency_ms,
+                fields.pop("done", result is AttemptResult.OK),
+                **fields,
+            )
+        )
 
     def serve(self, service_class: str = "read", latency_ms: float = 100.0, **fields: Any) -> str:
-        """Submit a request and let it succeed after a latency; returns the endpoint that got it."""
+        """Submit a request that succeeds after a latency; returns its endpoint."""
         request = self.submit(service_class)
         self.advance(latency_ms)
-        self.finish(request.request_id, request.endpoint, AttemptResult.OK, latency_ms, **fields)
+        self.finish(request, AttemptResult.OK, latency_ms, **fields)
         return request.endpoint
 
     def end_period(self, after_ms: float | None = None) -> list[Action]:
-        """Let the period's timer fire after its time, or after another one."""
+        """Fire the period's timer after its delay, or after another time."""
         self.advance(self.policy.period_ms if after_ms is None else after_ms)
         return self.handle(TimerFired(PERIOD_TIMER))
 
     def end_loaded_period(self, latency_ms: float, count: int = 30) -> None:
-        """Submit requests, let those that are sent succeed at once with this latency, and end the period."""
+        """Submit requests, of which those sent succeed at once with this latency, and end the period."""
         for _ in range(count):
             request = self.submit()
             if request.is_sent:
-                self.finish(request.request_id, request.endpoint, AttemptResult.OK, latency_ms)
+                self.finish(request, AttemptResult.OK, latency_ms)
         self.end_period()
 
     def report_load(self, endpoint: str, **values: float) -> None:
@@ -186,7 +199,7 @@
         self.policy.endpoints.observe_load_report(self.now_ms, endpoint, LoadReport(**values))
 
     def tracked(self, name: str) -> TrackedEndpoint:
-        """What the policy knows of an endpoint."""
+        """The policy's state of an endpoint."""
         return self.policy.endpoints.by_name[name]
 
     @property
