--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -135,9 +135,9 @@
     async def aclose(self) -> None:
         """Close the listening socket and all connections, and wait until they are closed."""
         self.stop()
-        await asyncio.gather(*self._tasks)
         for writer in self._writers:
             await close_writer(writer)
+        await asyncio.gather(*self._tasks)  # raises what a script has raised meanwhile
 
 
 class StalledBackend(LoopbackServer):
