--- a/tests/proxy/test_attempt_races.py
+++ b/tests/proxy/test_attempt_races.py
@@ -13,6 +13,7 @@
 from loadbalancer.http.client_connection import ClientConnection
 from loadbalancer.http.server_connection import ServerConnection
 from loadbalancer.proxy.proxy import Proxy
+from tests.support.builders import allow_only
 from tests.support.loopback import (
     HttpClient,
     LoopbackServer,
@@ -192,7 +193,7 @@
 
 async def test_keyed_retry_that_connects_after_the_deduplication_window_is_not_sent():
     async def fail(_message):
-        proxy.policy.endpoints.ready = [proxy.policy.endpoints.by_name["s1"]]
+        allow_only(proxy.policy.endpoints, "s1")
         return reply(500)
 
     clock = AdjustableClock()
@@ -201,7 +202,7 @@
     settings = {"categories": [keyed | {"memorySpanMs": 1000.0 * DEDUPLICATION_WINDOW_S}]}
     async with running_proxy(first, second, settings=settings) as proxy:
         gated = GatedConnects(proxy, at_once=1)
-        proxy.policy.endpoints.ready = [proxy.policy.endpoints.by_name["s0"]]
+        allow_only(proxy.policy.endpoints, "s0")
         client = await HttpClient.to(proxy)
         response = asyncio.ensure_future(client.send(request("move", "q1", Idempotency_Key="k")))
         await until(lambda: gated.connects == 2)
--- a/tests/proxy/test_client_disconnects.py
+++ b/tests/proxy/test_client_disconnects.py
@@ -58,7 +58,7 @@
 async def assert_disconnect_left_nothing(proxy: Proxy, backends: FailingFirstAttempt, *seen: str) -> None:
     """No further attempt was sent; the counters are right; and the next request is served."""
     await until(lambda: has_ended_all(proxy))
-    assert not proxy.policy.requests.open
+    assert not proxy.policy.requests.open_requests
     assert (await send_request(proxy, request("post", "next"))).status == 200
     assert sorted(backends.seen) == sorted([*seen, "next"])
     statistics = proxy.statistics
--- a/tests/support/disconnects.py
+++ b/tests/support/disconnects.py
@@ -12,6 +12,7 @@
 from loadbalancer.http.addresses import Address
 from loadbalancer.http.client_connection import ClientConnection
 from loadbalancer.proxy.proxy import Proxy
+from tests.support.builders import allow_only
 from tests.support.loopback import HttpClient, LoopbackServer, send_request, until
 from tests.support.messages import Message, reply, request
 
@@ -115,9 +116,9 @@
     async def open_connections(self, proxy: Proxy) -> None:
         """Leave one idle connection to each endpoint in the proxy's pool."""
         for number in range(len(self.servers)):
-            proxy.policy.endpoints.ready = [proxy.policy.endpoints.by_name[f"s{number}"]]
+            allow_only(proxy.policy.endpoints, f"s{number}")
             assert (await send_request(proxy, request("post", f"warm{number}"))).status == 200
-        proxy.policy.endpoints.ready = list(proxy.policy.endpoints.by_name.values())
+        allow_only(proxy.policy.endpoints, *proxy.policy.endpoints.by_name)
         await until(lambda: not proxy.listener.connections)
         proxy.statistics.reset()
 
