--- a/benchmarks/data_path.py
+++ b/benchmarks/data_path/__main__.py
@@ -1,23 +1,23 @@
-"""The command that measures what a request costs through a real proxy, beside the same request made directly.
+"""Measure the cost of a request through a real proxy: `python -m benchmarks.data_path`.
 
-Run as `python -m benchmarks.data_path`. Proxies with lists of several sizes run side by side and are called
-one after the other, each slice of requests through one beside a slice of direct requests at the same rate. A
-direct request goes to one of a few backends on a connection that is kept alive.
+Proxies with lists of several sizes run side by side and get requests in turn: each slice of requests through
+a proxy is next to a slice of direct requests at the same rate. A direct request goes to one of a few backends
+on a connection that is kept alive.
 """
 
 from __future__ import annotations
 
-import asyncio
 from dataclasses import replace
 from pathlib import Path
 
 import click
 
-from benchmarks.data_path_measurement import DIRECT_BACKENDS, DataPathBench, Plan
-from benchmarks.data_path_report import report
-from benchmarks.node_setup import node_setup, stop_garbage_collection
-from benchmarks.open_loop import MicrosecondEventLoop
-from benchmarks.options import (
+from benchmarks.data_path.measurement import DIRECT_BACKENDS, DataPathBench
+from benchmarks.data_path.plan import Plan
+from benchmarks.data_path.report import report
+from benchmarks.support.node_setup import node_setup, stop_garbage_collection
+from benchmarks.support.open_loop import run_with_exact_timers
+from benchmarks.support.options import (
     make_plan,
     out_option,
     parse_numbers,
@@ -59,7 +59,7 @@
 @click.option("--rounds", default=5, show_default=True, help="Of all slices.")
 @service_ms_option
 @sockets_option
-@click.option("--no-limit", is_flag=True, help="Don't look for the highest rate that is sustained.")
+@click.option("--no-limit", is_flag=True, help="Don't search the highest sustained rate.")
 @seed_option
 @quick_option
 @out_option("datapath.json")
@@ -70,8 +70,7 @@
         plan = replace(plan, seconds=0.5, rounds=1, idle_s=0.5)
     if quick or no_limit:
         plan = replace(plan, limit_s=0.0)
-    with asyncio.Runner(loop_factory=MicrosecondEventLoop) as runner:
-        runner.run(measure(plan, out))
+    run_with_exact_timers(measure(plan, out))
 
 
 if __name__ == "__main__":
--- a/tests/benchmarks/test_capacity.py
+++ b/tests/benchmarks/test_capacity.py
@@ -7,20 +7,21 @@
 import orjson
 import pytest
 
-from benchmarks import capacity
-from benchmarks.capacity import CapacityFigure, PageMarkerError
-from benchmarks.processes import ROOT
-from benchmarks.result_files import RESULTS_FOLDER, ResultFiles
+from benchmarks.capacity import page as capacity_page
+from benchmarks.capacity.figures import CapacityFigure, all_figures
+from benchmarks.capacity.page import PageMarkerError
+from benchmarks.capacity.result_files import RESULTS_FOLDER, ResultFiles
+from benchmarks.support.processes import ROOT
 
 
 def test_page_holds_the_table_that_the_result_files_give():
-    page = capacity.PAGE.read_text()
-    assert capacity.replace_table(page, capacity.render_table(ResultFiles())) == page
+    page = capacity_page.PAGE.read_text()
+    assert capacity_page.replace_table(page, capacity_page.render_table(ResultFiles())) == page
 
 
 def test_page_names_runs_and_files_that_are_there():
-    page = capacity.PAGE.read_text()
-    runs = {figure.run for figure in capacity.all_figures(ResultFiles()) if figure.value is not None}
+    page = capacity_page.PAGE.read_text()
+    runs = {figure.run for figure in all_figures(ResultFiles()) if figure.value is not None}
     assert runs <= {path.stem for path in RESULTS_FOLDER.glob("*.json")}
     places = ("loadbalancer", "benchmarks", "tests")
     files = [path.as_posix() for place in places for path in (ROOT / place).rglob("*.py")]
@@ -28,29 +29,39 @@
         assert any(f"/{path}".endswith(f"/{name}") for path in files), name
 
 
-def test_figure_is_met_missed_or_not_measured(tmp_path):
+@pytest.fixture
+def results(tmp_path):
+    """A folder with one result file, `datapath`."""
     slope = {"base": 2.0, "per_unit": 0.5, "error": 0.1, "r2": 1.0}
-    records = [{"list": 13, "rate_per_s": 170.0, "cpu_us": 400.0}]
+    rows = [{"list": 13, "rate_per_s": 170.0, "cpu_us": 400.0}]
     about = {"more": [{"depth": 3, "sent": 1.5}]}
     (tmp_path / "datapath.json").write_bytes(
-        orjson.dumps({"rows": records, "slopes": {"x": slope}, "about": about})
+        orjson.dumps({"rows": rows, "slopes": {"x": slope}, "about": about})
     )
-    results = ResultFiles(tmp_path)
+    return ResultFiles(tmp_path)
+
+
+def test_figures_are_read_from_slopes_and_rows(results):
     assert results.slope_at("datapath", "x", 10) == 7.0
     assert results.slope_at("datapath", "y", 10) is None
     assert results.figure("datapath", "cpu_us", {"list": 13}) == 400.0
     assert results.figure("datapath", "cpu_us", {"list": 14}) is None
     assert results.figure("datapath", "sent", {"depth": 3}, "more") == 1.5
-    verdicts = {
-        (5.0, 10.0): "met, 0.5 of it",
-        (25.0, 10.0): "not met, 2.5 times",
-        (5.0, None): "no budget set",
-        (None, 10.0): "not measured",
-    }
-    for (value, budget), verdict in verdicts.items():
-        assert CapacityFigure("r", "q", value, "u", budget, "m", "s").verdict == verdict
+
+
+@pytest.mark.parametrize(
+    ("value", "budget", "verdict"),
+    [
+        pytest.param(5.0, 10.0, "met, 0.5 of it", id="met"),
+        pytest.param(25.0, 10.0, "not met, 2.5 times", id="missed"),
+        pytest.param(5.0, None, "no budget set", id="no budget"),
+        pytest.param(None, 10.0, "not measured", id="not measured"),
+    ],
+)
+def test_verdict_compares_a_figure_with_its_budget(value, budget, verdict):
+    assert CapacityFigure("r", "q", value, "u", budget, "m", "s").verdict == verdict
 
 
 def test_page_without_markers_for_the_table_is_an_error():
     with pytest.raises(PageMarkerError, match="no place"):
-        capacity.replace_table("# Capacity", "| table |")
+        capacity_page.replace_table("# Capacity", "| table |")
