--- a/benchmarks/data_path/__main__.py
+++ b/benchmarks/data_path/__main__.py
@@ -12,7 +12,7 @@
 
 import click
 
-from benchmarks.data_path.measurement import DIRECT_BACKENDS, DataPathBench
+from benchmarks.data_path.measurement import DIRECT_BACKENDS, DataPathBenchmark
 from benchmarks.data_path.plan import Plan
 from benchmarks.data_path.report import report
 from benchmarks.support.node_setup import node_setup, stop_garbage_collection
@@ -36,13 +36,13 @@
     ) as setup:
         for size, list_server in zip(plan.sizes, setup.backends.list_servers, strict=True):
             await setup.start_proxy(size, list_server, sockets=plan.sockets)
-        bench = DataPathBench(plan, setup, setup.backend_addresses(DIRECT_BACKENDS))
+        benchmark = DataPathBenchmark(plan, setup, setup.backend_addresses(DIRECT_BACKENDS))
         stop_garbage_collection()
-        await bench.warm_up()
-        cells = await bench.run_rounds()
+        await benchmark.warm_up()
+        cells = await benchmark.run_rounds()
         limit_sizes = dict.fromkeys((plan.sizes[0], plan.sizes[-1])) if plan.limit_s else ()
-        limits = [await bench.find_rate_limit(size) for size in limit_sizes]
-        report(bench, cells, limits, out)
+        limits = [await benchmark.find_rate_limit(size) for size in limit_sizes]
+        report(benchmark, cells, limits, out)
 
 
 @click.command()
--- a/benchmarks/data_path/measurement.py
+++ b/benchmarks/data_path/measurement.py
@@ -43,7 +43,7 @@
         return sum(map(len, self.proxied_us))
 
 
-class DataPathBench:
+class DataPathBenchmark:
     """Runs the slices of a plan on nodes that are up."""
 
     def __init__(self, plan: Plan, setup: NodeSetup, direct_addresses: list[Address]) -> None:
--- a/benchmarks/data_path/records.py
+++ b/benchmarks/data_path/records.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from benchmarks.data_path.measurement import Cell, DataPathBench
+from benchmarks.data_path.measurement import Cell, DataPathBenchmark
 from benchmarks.data_path.plan import SliceKind
 from benchmarks.support.open_loop import histogram
 from benchmarks.support.processes import resident_mib
@@ -98,7 +98,7 @@
     load_average: float = msgspec.field(name="load")
 
 
-def cost_records(cells: Mapping[SliceKind, Cell], bench: DataPathBench) -> list[CostRecord]:
+def cost_records(cells: Mapping[SliceKind, Cell], benchmark: DataPathBenchmark) -> list[CostRecord]:
     """Return the costs of each kind of slice."""
     return [
         CostRecord(
@@ -107,9 +107,9 @@
             cpu_us=statistics.mean(cell.cpu_us),
             cpu_error_us=standard_error(cell.cpu_us),
             run_queue_us=statistics.mean(cell.run_queue_us),
-            idle_cores=bench.idle_cores[kind.list_size],
-            idle_mib=bench.idle_mib[kind.list_size],
-            end_mib=resident_mib(bench.setup.proxies[kind.list_size].pid),
+            idle_cores=benchmark.idle_cores[kind.list_size],
+            idle_mib=benchmark.idle_mib[kind.list_size],
+            end_mib=resident_mib(benchmark.setup.proxies[kind.list_size].pid),
             opened_per_request=sum(cell.opened) / cell.requests,
             success_fraction=cell.succeeded / cell.requests,
             load_average=statistics.mean(cell.load_average),
--- a/benchmarks/data_path/report.py
+++ b/benchmarks/data_path/report.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping, Sequence
 from pathlib import Path
 
-from benchmarks.data_path.measurement import Cell, DataPathBench
+from benchmarks.data_path.measurement import Cell, DataPathBenchmark
 from benchmarks.data_path.plan import SliceKind
 from benchmarks.data_path.rate_limit import RateLimit
 from benchmarks.data_path.records import CostRecord, cost_records, latency_records, rounds_records
@@ -13,44 +13,44 @@
 from benchmarks.support.report import format_table, write_results
 
 
-def slopes_over_sizes(cells: Mapping[SliceKind, Cell], bench: DataPathBench) -> dict[str, Slope]:
+def slopes_over_sizes(cells: Mapping[SliceKind, Cell], benchmark: DataPathBenchmark) -> dict[str, Slope]:
     """Return lines over the list size, if there are enough sizes; each round is a point of its own."""
     compared = {
-        kind.list_size: cell for kind, cell in cells.items() if kind.rate == bench.plan.comparison_rate
+        kind.list_size: cell for kind, cell in cells.items() if kind.rate == benchmark.plan.comparison_rate
     }
     if len(compared) < MIN_SLOPE_SIZES:
         return {}
     points = [(size, cpu_us) for size, cell in compared.items() for cpu_us in cell.cpu_us]
-    sizes = list(bench.idle_cores)
+    sizes = list(benchmark.idle_cores)
     return {
         "cpu_us_per_call": linear_regression([size for size, _ in points], [cpu_us for _, cpu_us in points]),
-        "idle_core": linear_regression(sizes, [bench.idle_cores[size] for size in sizes]),
-        "idle_mb": linear_regression(sizes, [bench.idle_mib[size] for size in sizes]),
+        "idle_core": linear_regression(sizes, [benchmark.idle_cores[size] for size in sizes]),
+        "idle_mb": linear_regression(sizes, [benchmark.idle_mib[size] for size in sizes]),
     }
 
 
-def cost_ratios(costs: Sequence[CostRecord], bench: DataPathBench) -> dict[str, float]:
+def cost_ratios(costs: Sequence[CostRecord], benchmark: DataPathBenchmark) -> dict[str, float]:
     """Return the ratio of the largest list's processor time a request to that of the smallest list."""
-    smallest, largest = min(bench.plan.sizes), max(bench.plan.sizes)
+    smallest, largest = min(benchmark.plan.sizes), max(benchmark.plan.sizes)
     if smallest == largest:
         return {}
-    cpu_us = {cost.list_size: cost.cpu_us for cost in costs if cost.rate == bench.plan.comparison_rate}
+    cpu_us = {cost.list_size: cost.cpu_us for cost in costs if cost.rate == benchmark.plan.comparison_rate}
     return {f"cpu_us, {largest} servers to {smallest}": cpu_us[largest] / cpu_us[smallest]}
 
 
 def report(
-    bench: DataPathBench, cells: Mapping[SliceKind, Cell], limits: Sequence[RateLimit], out: Path
+    benchmark: DataPathBenchmark, cells: Mapping[SliceKind, Cell], limits: Sequence[RateLimit], out: Path
 ) -> None:
     """Print the tables and write the result file."""
-    costs = cost_records(cells, bench)
+    costs = cost_records(cells, benchmark)
     latency_rows = [record.row() for record in latency_records(cells)]
     cost_rows = [record.row() for record in costs]
-    slopes, ratios = slopes_over_sizes(cells, bench), cost_ratios(costs, bench)
+    slopes, ratios = slopes_over_sizes(cells, benchmark), cost_ratios(costs, benchmark)
     write_results(
         out,
         [cost | latency for cost, latency in zip(cost_rows, latency_rows, strict=True)],
         slopes,
-        plan=bench.plan,
+        plan=benchmark.plan,
         limits=[limit.row_with_trials() for limit in limits],
         ratios=ratios,
         rounds=[record.row() for record in rounds_records(cells)],
