--- a/loadbalancer/policy/attempts.py
+++ b/loadbalancer/policy/attempts.py
@@ -7,7 +7,7 @@
 
 
 class AttemptState:
-    """One attempt; `result` is None while it is in flight.
+    """One attempt; `result` is None while it is in flight, and set by its endpoint's `end_attempt`.
 
     Attempts compare and hash by identity, so that they can be keys.
     """
--- a/loadbalancer/policy/policy.py
+++ b/loadbalancer/policy/policy.py
@@ -153,7 +153,7 @@
         self.endpoints.expire_abandoned(now_ms)
         reporting = self.endpoints.reporting(now_ms)
         self.selector.learn_queues(now_ms, reporting)
-        self.latency.learn(self.cursor)
+        self.latency.learn(self.admission.cursor)
         self.admission.move_cursor(self.load_estimator.estimate(reporting))
         self.slow_start.learn_usual_rate(now_ms, self.completion_rate.period_weight, self.period_ms)
         self.completion_rate.end_period()
--- a/loadbalancer/simulator_adapter.py
+++ b/loadbalancer/simulator_adapter.py
@@ -88,16 +88,14 @@
     Attributes:
         hosted: the running nodes, by number.
         catalogs: the latest endpoint catalog of each reference; a later one replaces it.
-        now_ms: the time of the current batch.
     """
 
     def __init__(self) -> None:
         self.hosted: dict[int, HostedPolicy] = {}
         self.catalogs: dict[int, tuple[Endpoint, ...]] = {}
-        self.now_ms = 0.0
 
-    def handle(self, message: WireMessage) -> list[WireMessage]:
-        """Deliver one event of a batch and return the replies to it.
+    def handle(self, now_ms: float, message: WireMessage) -> list[WireMessage]:
+        """Deliver one event of a batch, whose time is `now_ms`, and return the replies to it.
 
         Any failure at a node ends that node only: the reply is a PANIC, and the traceback is written to
         standard error.
@@ -113,7 +111,7 @@
         if not isinstance(node, int):
             raise WireError(WireFault.NO_NODE, repr(kind))
         try:
-            return self._deliver(kind, node, message)
+            return self._deliver(now_ms, kind, node, message)
         except Exception as error:
             traceback.print_exc(file=sys.stderr)
             self.hosted.pop(node, None)
@@ -126,9 +124,9 @@
         except (KeyError, TypeError, ValueError) as error:
             raise WireError(WireFault.BAD_CATALOG, f"{type(error).__name__}: {error}") from error
 
-    def _deliver(self, kind: object, node: int, message: WireMessage) -> list[WireMessage]:
+    def _deliver(self, now_ms: float, kind: object, node: int, message: WireMessage) -> list[WireMessage]:
         if kind == "POWER_ON":
-            self.hosted[node] = HostedPolicy(message["config"], message["seed"], self.now_ms, self.catalogs)
+            self.hosted[node] = HostedPolicy(message["config"], message["seed"], now_ms, self.catalogs)
             return []
         hosted = self.hosted.get(node)
         if hosted is None:
@@ -142,7 +140,7 @@
         if read_event is None:
             raise MessageError("kind", f"{kind!r} is not one of {', '.join(EVENT_READERS)}")
         event = read_event(hosted.context, message)
-        return [write_action(node, action) for action in hosted.policy.handle(self.now_ms, event)]
+        return [write_action(node, action) for action in hosted.policy.handle(now_ms, event)]
 
 
 class Batch:
@@ -150,7 +148,6 @@
 
     Attributes:
         now_ms: the simulator's clock, the same for all events of the batch.
-        reply: the encoded lines of the reply so far.
     """
 
     def __init__(self, start: WireMessage) -> None:
@@ -158,13 +155,17 @@
         if not isinstance(now_ms, int | float) or "seq" not in start:
             raise WireError(WireFault.BAD_BATCH_START, repr(start))
         self.now_ms = float(now_ms)
-        self.reply: list[bytes] = []
+        self._lines: list[bytes] = []  # of the reply, encoded
         self._sequence = start["seq"]
 
+    def add_replies(self, replies: list[WireMessage]) -> None:
+        """Add the replies to an event to the reply of the batch."""
+        self._lines.extend(orjson.dumps(reply) for reply in replies)
+
     def write_reply(self, sink: BinaryIO) -> None:
         """Write and flush the whole reply, which ends with READY and the number of the batch."""
-        self.reply.append(orjson.dumps({"kind": "READY", "seq": self._sequence}))
-        sink.write(b"\n".join(self.reply) + b"\n")
+        self._lines.append(orjson.dumps({"kind": "READY", "seq": self._sequence}))
+        sink.write(b"\n".join(self._lines) + b"\n")
         sink.flush()
 
 
@@ -193,14 +194,13 @@
             if batch is not None:
                 raise WireError(WireFault.NESTED_BATCH, repr(message))
             batch = Batch(message)
-            adapter.now_ms = batch.now_ms
         elif batch is None:
             raise WireError(WireFault.OUTSIDE_BATCH, repr(kind))
         elif kind == "GO":
             batch.write_reply(sink)
             batch = None
         else:
-            batch.reply.extend(orjson.dumps(reply) for reply in adapter.handle(message))
+            batch.add_replies(adapter.handle(batch.now_ms, message))
     if batch is not None:
         raise WireError(WireFault.UNFINISHED_BATCH, f"at {batch.now_ms} ms")
 
--- a/tests/simulator/test_simulator_adapter.py
+++ b/tests/simulator/test_simulator_adapter.py
@@ -12,7 +12,6 @@
 from loadbalancer.simulator_adapter import SimulatorAdapter, WireError, WireFault, run
 from loadbalancer.simulator_wire import WireMessage
 from tests.simulator.wire_messages import (
-    BATCH_TIME_MS,
     batch,
     catalog,
     handle_all,
@@ -45,7 +44,6 @@
 
 def test_later_catalog_replaces_an_earlier_one_of_the_same_reference():
     adapter = SimulatorAdapter()
-    adapter.now_ms = BATCH_TIME_MS
     handle_all(adapter, catalog(0, 2), *start(0), catalog(0, 5), *start(1))
     assert [len(adapter.hosted[node].policy.endpoints.by_name) for node in (0, 1)] == [2, 5]
 
@@ -63,7 +61,6 @@
 
     def replies_by_node(nodes: list[int]) -> dict[int, list[WireMessage]]:
         adapter = SimulatorAdapter()
-        adapter.now_ms = BATCH_TIME_MS
         rounds = zip(*(events(node) for node in nodes), strict=True)
         interleaved = [event for events_of_round in rounds for event in events_of_round]
         replies = handle_all(adapter, *interleaved)
@@ -82,18 +79,18 @@
     ],
 )
 def test_failure_at_a_node_is_its_panic(event, capsys):
-    replies = SimulatorAdapter().handle(event)
+    replies = handle_all(SimulatorAdapter(), event)
     assert [(reply["kind"], reply["node"]) for reply in replies] == [("PANIC", 3)]
     assert replies[0]["bodyText"]
     assert capsys.readouterr().out == ""
 
 
 def test_unknown_kind_of_event_at_a_running_node_is_its_panic():
-    assert started_adapter().handle({"kind": "NONSENSE", "node": 0})[0]["kind"] == "PANIC"
+    assert handle_all(started_adapter(), {"kind": "NONSENSE", "node": 0})[0]["kind"] == "PANIC"
 
 
 def test_request_of_an_unknown_class_is_a_panic():
-    assert started_adapter().handle(request("q", service_class="unheard of"))[0]["kind"] == "PANIC"
+    assert handle_all(started_adapter(), request("q", service_class="unheard of"))[0]["kind"] == "PANIC"
 
 
 @pytest.mark.parametrize(
@@ -104,7 +101,7 @@
     ],
 )
 def test_panic_names_the_event_and_the_bad_value(event, problem):
-    (reply,) = started_adapter().handle(event)
+    (reply,) = handle_all(started_adapter(), event)
     assert reply["kind"] == "PANIC"
     assert event["kind"] in reply["bodyText"]
     assert problem in reply["bodyText"]
--- a/tests/simulator/test_simulator_wire.py
+++ b/tests/simulator/test_simulator_wire.py
@@ -26,7 +26,7 @@
 def test_reply_to_an_outcome_depends_on_its_code_and_the_idempotency(service_class, code, reply_kind):
     adapter = started_adapter()
     endpoint = send_request(adapter, "q", service_class)
-    replies = adapter.handle(outcome("q", endpoint, code, done=False))
+    replies = handle_all(adapter, outcome("q", endpoint, code, done=False))
     assert [reply["kind"] for reply in replies] == [reply_kind]
 
 
@@ -34,15 +34,15 @@
     adapter = started_adapter()
     endpoint = send_request(adapter, "q")
     disconnect = {"kind": "LAPSED", "node": 0, "txn": "q"}
-    assert [reply["kind"] for reply in adapter.handle(disconnect)] == ["RETRACT"]
-    assert adapter.handle(disconnect) == []
-    assert adapter.handle(outcome("q", endpoint, 0, done=True, load_report=[3, 0.5])) == []
+    assert [reply["kind"] for reply in handle_all(adapter, disconnect)] == ["RETRACT"]
+    assert handle_all(adapter, disconnect) == []
+    assert handle_all(adapter, outcome("q", endpoint, 0, done=True, load_report=[3, 0.5])) == []
 
 
 def test_load_reports_are_read_in_the_order_of_the_settings():
     adapter = started_adapter()
     endpoint = send_request(adapter, "q")
-    adapter.handle(outcome("q", endpoint, 0, done=True, load_report=[3, None]))
+    handle_all(adapter, outcome("q", endpoint, 0, done=True, load_report=[3, None]))
     state = adapter.hosted[0].policy.endpoints.by_name[endpoint]
     assert state.reported_queue == 3
     assert state.utilisation is None
@@ -51,7 +51,7 @@
 def test_each_form_of_a_membership_update_is_applied():
     adapter = started_adapter()
     update = {"kind": "MEMBERSHIP", "node": 0}
-    failed = adapter.handle(update | {"form": "failed", "generation": 2, "ref": None})
+    failed = handle_all(adapter, update | {"form": "failed", "generation": 2, "ref": None})
     assert [reply["kind"] for reply in failed] == ["SLEEP"]
     handle_all(
         adapter,
@@ -72,7 +72,7 @@
         of_endpoint | {"kind": "FIRST", "txn": "unknown", "attempt": 0},
         {"kind": "ALARM", "node": 0, "name": "not ours"},
     ]
-    assert [adapter.handle(event) for event in events] == [[], [], [], []]
+    assert [handle_all(adapter, event) for event in events] == [[], [], [], []]
     assert adapter.hosted[0].policy.endpoints.by_name["10.0.0.1:1"].reported_queue == 4
 
 
--- a/tests/simulator/wire_messages.py
+++ b/tests/simulator/wire_messages.py
@@ -110,19 +110,18 @@
 
 def handle_all(adapter: SimulatorAdapter, *events: WireMessage) -> list[WireMessage]:
     """Deliver the events to the adapter and return all replies."""
-    return [reply for event in events for reply in adapter.handle(event)]
+    return [reply for event in events for reply in adapter.handle(BATCH_TIME_MS, event)]
 
 
 def started_adapter(*events: WireMessage) -> SimulatorAdapter:
     """An adapter whose node 0 runs with three endpoints and has received these events."""
     adapter = SimulatorAdapter()
-    adapter.now_ms = BATCH_TIME_MS
     handle_all(adapter, catalog(), *start(), *events)
     return adapter
 
 
 def send_request(adapter: SimulatorAdapter, request_id: str, service_class: str = "read") -> str:
     """Deliver a request to node 0 and return the endpoint of its attempt."""
-    (sent,) = of_kind(adapter.handle(request(request_id, service_class=service_class)), "ISSUE")
+    (sent,) = of_kind(handle_all(adapter, request(request_id, service_class=service_class)), "ISSUE")
     endpoint: str = sent["server"]
     return endpoint
