--- a/tests/discovery_server/test_statistics.py
+++ b/tests/discovery_server/test_statistics.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import asyncio
 import re
 from pathlib import Path
 
@@ -34,6 +35,23 @@
     )
 
 
+async def test_statistics_of_a_server_without_a_list_show_what_is_missing(cluster):
+    silent = await cluster.upstream(lambda _: asyncio.Event().wait())
+    statistics = (await cluster.server(silent.endpoint)).statistics()
+    assert (statistics.lists, statistics.initialized_lists, statistics.connected_upstreams) == (1, 0, 0)
+
+
+async def test_statistics_count_completed_watches(cluster):
+    registry = await cluster.registry("a")
+    server = await cluster.ready_server(registry.endpoint)
+    watches = await cluster.start_watches(server, (await get_list(server)).revision, 2)
+    registry.set_endpoints("a", "b")
+    await asyncio.gather(*watches)
+    statistics = server.statistics()
+    assert (statistics.waiting_watches, statistics.completed_watches) == (0, 2)
+    assert statistics.outdated_snapshots == 0
+
+
 async def test_log_event_has_the_fields_of_the_operations_page(cluster):
     registry = await cluster.registry("a")
     with capture_logs() as logs:
--- a/tests/discovery_server/test_upstream_follower.py
+++ b/tests/discovery_server/test_upstream_follower.py
@@ -132,7 +132,7 @@
 
     def uniform(self, a, b):
         self.bounds.append(b)
-        return b
+        return max(a, b)
 
 
 async def reject_updates(rng, count):
--- a/tests/discovery_server/test_upstream_selector.py
+++ b/tests/discovery_server/test_upstream_selector.py
@@ -62,7 +62,7 @@
     """Draws the upper bound of each range."""
 
     def uniform(self, a, b):
-        return b
+        return max(a, b)
 
 
 def test_rejected_update_has_the_backoff_of_several_failures():
