--- a/loadbalancer/discovery_server/frontend.py
+++ b/loadbalancer/discovery_server/frontend.py
@@ -7,7 +7,7 @@
 
 from loadbalancer.discovery_server.endpoint_store import EndpointStore
 from loadbalancer.discovery_server.unread_responses import UnreadResponses
-from loadbalancer.discovery_server.update_pipeline import RevisionNotStoredError, UpdatePipeline
+from loadbalancer.discovery_server.update_pipeline import RevisionNotReservedError, UpdatePipeline
 from loadbalancer.discovery_server.watch_query import QueryError, WatchQuery, parse_query
 from loadbalancer.discovery_server.watch_registry import Watch, WatchRegistry
 from loadbalancer.discovery_server.watch_scheduler import WatchScheduler
@@ -113,7 +113,7 @@
             return
         try:
             body = pipeline.response_since(query.since)
-        except RevisionNotStoredError:
+        except RevisionNotReservedError:
             self._reject(request, HTTPStatus.SERVICE_UNAVAILABLE)
             return
         if body is not None:
--- a/loadbalancer/discovery_server/served_list.py
+++ b/loadbalancer/discovery_server/served_list.py
@@ -16,7 +16,7 @@
 from loadbalancer.discovery_server.revisions import TAG_BITS
 from loadbalancer.discovery_server.snapshot_store import SnapshotStore
 from loadbalancer.discovery_server.snapshot_writer import SnapshotWriter
-from loadbalancer.discovery_server.update_pipeline import UpdatePipeline
+from loadbalancer.discovery_server.update_pipeline import UpdateCallbacks, UpdatePipeline
 from loadbalancer.discovery_server.upstream_follower import UpstreamFollower, UpstreamStatus
 from loadbalancer.http.addresses import parse_address
 
@@ -59,8 +59,8 @@
         self.pipeline = UpdatePipeline(
             self._restore_store(snapshot_store),
             SnapshotWriter(snapshot_store, shared.executor, shared.log),
+            UpdateCallbacks(shared.on_change, self._restart_follower),
             shared.clock_ms,
-            shared.on_change,
             shared.log,
         )
         self.follower = UpstreamFollower(
@@ -70,13 +70,15 @@
             self.pipeline.submit,
             self._log_upstream_status,
         )
-        self.pipeline.on_update_rejected = self.follower.restart_after_rejection
 
     @property
     def store(self) -> EndpointStore:
         """The list's state, to which only the pipeline commits."""
         return self.pipeline.store
 
+    def _restart_follower(self) -> None:
+        self.follower.restart_after_rejection()
+
     def _restore_store(self, snapshot_store: SnapshotStore) -> EndpointStore:
         """A store with the newest valid snapshot; an uninitialized one without a valid snapshot."""
         name, log = self.config.name, self._shared.log
--- a/loadbalancer/discovery_server/snapshot_writer.py
+++ b/loadbalancer/discovery_server/snapshot_writer.py
@@ -1,4 +1,4 @@
-"""Writes one list's snapshots in a worker thread, and doesn't let a slow disk hold the list back."""
+"""Writes the snapshots of one list in a worker thread, with a time limit."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 from loadbalancer.discovery_server.revisions import STARTUP_LEAD_TICKS
 from loadbalancer.discovery_server.snapshot_store import SnapshotStore
 
-WRITE_TIMEOUT_S = 1.0  # for which a change set waits for the disk
-FINAL_WRITE_TIMEOUT_S = 2.0  # for which the shutdown waits for a write in progress
+WRITE_TIMEOUT_S = 1.0  # a change set waits for its snapshot no longer than this
+FINAL_WRITE_TIMEOUT_S = 2.0  # a shutdown waits for a write in progress no longer than this
 
 
 class SnapshotWriter:
     """Writes one snapshot at a time.
 
     Attributes:
-        outdated: Whether the disk lacks the last snapshot that was to be written.
-        lead_ticks: The lead over the clock with which the next process begins at the least, even if it finds
-            the newest snapshot damaged.
+        outdated: Whether the last snapshot to be written is missing on the disk.
+        durable_lead_ticks: The shortest lead over the clock with which the next process begins, whether it
+            finds the newest snapshot, only the previous one, or neither.
     """
 
     def __init__(self, store: SnapshotStore, executor: Executor, log: BoundLogger) -> None:
         """Write to this store, in a thread of this executor."""
         self.outdated = False
-        self.lead_ticks = STARTUP_LEAD_TICKS
+        self.durable_lead_ticks = STARTUP_LEAD_TICKS
         self._newest_lead_ticks = STARTUP_LEAD_TICKS
         self._store = store
         self._executor = executor
@@ -35,17 +35,30 @@
         self._write: asyncio.Future[None] | None = None
 
     async def write(self, snapshot: Snapshot) -> None:
-        """Write the snapshot within the time limit; a failure is logged and leaves `outdated` set.
+        """Write the snapshot within the time limit; a failure is logged and sets `outdated`.
 
-        A write that is still in progress from an earlier call has this one skipped.
+        The snapshot is skipped, and `outdated` set, while an earlier write is still in progress.
         """
+        extends_lead = snapshot.lead_ticks > self.durable_lead_ticks
+        await self._write_once(snapshot)
+        # Guard: if the newest snapshot is damaged, the next process begins with the shorter lead of the
+        # previous one, and could issue the same revisions again. Written twice, both state the longer lead.
+        if extends_lead and not self.outdated:
+            await self._write_once(snapshot)
+
+    async def wait_for_write(self) -> None:
+        """Wait for a write in progress, within a time limit."""
+        if self._write is not None:
+            await asyncio.wait({self._write}, timeout=FINAL_WRITE_TIMEOUT_S)
+
+    async def _write_once(self, snapshot: Snapshot) -> None:
         if self._write is not None and not self._write.done():
             self.outdated = True
             return
-        # A write that fails may still have replaced the newest snapshot.
-        newest_lead_ticks = self._newest_lead_ticks
-        self.lead_ticks = min(self.lead_ticks, snapshot.lead_ticks)
-        self._newest_lead_ticks = min(newest_lead_ticks, snapshot.lead_ticks)
+        lead_ticks, previous_lead_ticks = snapshot.lead_ticks, self._newest_lead_ticks
+        # A write that fails or is late may have replaced the newest snapshot all the same.
+        self._newest_lead_ticks = min(previous_lead_ticks, lead_ticks)
+        self.durable_lead_ticks = min(self.durable_lead_ticks, lead_ticks)
         loop = asyncio.get_running_loop()
         self._write = loop.run_in_executor(self._executor, self._store.write, snapshot)
         self._write.add_done_callback(_retrieve_exception)
@@ -53,18 +66,13 @@
         error = self._write.exception() if done else TimeoutError("the disk takes too long")
         self.outdated = error is not None
         if error is None:
-            self.lead_ticks = min(newest_lead_ticks, snapshot.lead_ticks)
-            self._newest_lead_ticks = snapshot.lead_ticks
+            self._newest_lead_ticks = lead_ticks
+            self.durable_lead_ticks = min(previous_lead_ticks, lead_ticks)
         else:
             self._log.error("snapshot write failed", list=self._store.name, error=str(error))
 
-    async def wait_for_write(self) -> None:
-        """Wait for a write in progress, for a bounded time."""
-        if self._write is not None:
-            await asyncio.wait({self._write}, timeout=FINAL_WRITE_TIMEOUT_S)
-
 
 def _retrieve_exception(write: asyncio.Future[None]) -> None:
-    """Mark a late failure as seen: it has been logged as a timeout."""
+    """Retrieve the exception of a write that fails after its time-out, which has been logged as one."""
     if not write.cancelled():
         write.exception()
--- a/loadbalancer/discovery_server/update_pipeline.py
+++ b/loadbalancer/discovery_server/update_pipeline.py
@@ -1,9 +1,10 @@
-"""Applies one list's updates: from the upstream follower, by way of the disk, to the endpoint store."""
+"""Applies the updates of one list: from the upstream follower to the disk and then to the endpoint store."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
+from dataclasses import dataclass
 
 from structlog.stdlib import BoundLogger
 
@@ -13,73 +14,94 @@
 from loadbalancer.discovery_server.snapshot_writer import SnapshotWriter
 
 
-class RevisionNotStoredError(Exception):
-    """A client's revision is so far ahead that the disk has to be written before one above it is used.
+class RevisionNotReservedError(Exception):
+    """The snapshots don't state a lead yet that allows a revision above the client's.
 
     Attributes:
         revision: The client's revision.
     """
 
     def __init__(self, revision: int) -> None:
-        super().__init__(f"the snapshots don't let the next process begin above {revision} yet")
+        super().__init__(f"no snapshot reserves a revision above {revision} yet")
         self.revision = revision
 
 
+@dataclass(slots=True, frozen=True)
+class UpdateCallbacks:
+    """The receivers of a pipeline's results.
+
+    Attributes:
+        on_change: Called with the store after each commit.
+        on_update_rejected: Called after an update that could not be applied.
+    """
+
+    on_change: Callable[[EndpointStore], None]
+    on_update_rejected: Callable[[], None]
+
+
 class UpdatePipeline:
-    """Applies updates in order, each change set after its snapshot is on the disk.
+    """Applies updates in order and commits each change set once its snapshot is on the disk.
 
-    While one snapshot is written, further updates gather for the next. A disk that fails or takes too long
-    doesn't hold a change back: the revision clock keeps revisions from being issued twice then, and the log
-    says so.
+    Updates that arrive while a snapshot is written are merged into the next change set. A disk that fails or
+    exceeds the time limit doesn't delay a change: the writer logs the failure, and the lead over the clock
+    prevents the next process from issuing the same revision.
 
     Attributes:
         store: The endpoint list, to which only the pipeline commits.
         writer: Writes the list's snapshots.
-        on_update_rejected: Called after an update that could not be applied.
     """
 
     def __init__(
         self,
         store: EndpointStore,
         writer: SnapshotWriter,
+        callbacks: UpdateCallbacks,
         clock_ms: Callable[[], float],
-        on_change: Callable[[EndpointStore], None],
         log: BoundLogger,
     ) -> None:
-        """Commit to the store, by a clock of Unix milliseconds; `on_change` is called after each commit."""
+        """Create the pipeline of a store; the store may be uninitialized.
+
+        Args:
+            store: The endpoint list.
+            writer: Writes the list's snapshots.
+            callbacks: The receivers of changes and rejections.
+            clock_ms: Returns the Unix time in milliseconds, which never goes back.
+            log: Receives the log events of the list.
+        """
         self.store = store
         self.writer = writer
-        self.on_update_rejected: Callable[[], None] = _ignore
+        self._callbacks = callbacks
         self._clock_ms = clock_ms
-        self._on_change = on_change
         self._log = log
         self._pending: list[EndpointUpdate] = []
-        self._reserved_revision = 0  # covered by the lead of each snapshot; used once they are on the disk
+        self._reserved_revision = 0  # each snapshot states a lead that exceeds it
         self._reservation_pending = False
         self._task: asyncio.Task[None] | None = None
 
     def submit(self, update: EndpointUpdate) -> None:
-        """Take an update from the upstream; a complete list replaces what is pending."""
+        """Queue an update from the upstream; a complete list replaces the queued ones."""
         if update.complete:
             self._pending.clear()
         self._pending.append(update)
         self._start()
 
     def response_since(self, revision: int | None) -> bytes | None:
-        """The body for a client that holds this revision, None if nothing has changed for it yet.
+        """The response body for a client that holds this revision; None if the client is up to date.
+
+        The list's revision rises above that of a client of another server.
 
         Raises:
-            RevisionNotStoredError: The client has to send its request again once the disk has been written.
+            RevisionNotReservedError: The disk has to be written first; the client has to repeat its request.
         """
         now_ms = self._clock_ms()
         store = self.store
         if revision is not None and store.initialized and store.is_outdated_for(revision, now_ms):
-            # Guard: a client that comes from another server would see its revision go back.
+            # Guard: a client of another server would see its revision go back.
             self._advance_past(revision, now_ms)
         return store.responses.since(revision)
 
     async def drain(self) -> None:
-        """Finish what has been submitted, and have the disk hold what clients have received."""
+        """Apply the queued updates, and write the snapshot that a failed write has left out."""
         if self._task is not None:
             await self._task
         await self.writer.wait_for_write()
@@ -87,26 +109,31 @@
             await self._write()
 
     def retry_failed_write(self) -> None:
-        """Try the disk again if it doesn't have the current list."""
+        """Start another write if the last one failed and no update is being applied."""
         if self.writer.outdated and self._task is None:
             self._task = asyncio.create_task(self._retry_write())
 
     def _advance_past(self, revision: int, now_ms: float) -> None:
-        # Guard: after a restart, a revision that is not on the disk could be issued again for another state.
-        # It is therefore used only if every later process begins above it; otherwise the lead on the disk is
-        # raised first. Trade-off: the client has to repeat its request, until the disk works if it fails.
         next_revision = self.store.next_revision(now_ms, revision)
-        if required_lead(next_revision, now_ms) > self.writer.lead_ticks:
-            self._reserved_revision = max(self._reserved_revision, next_revision)
-            self._reservation_pending = True
-            self._start()
-            raise RevisionNotStoredError(revision)
+        # Guard: the change set isn't stored, since no entry changes. The next process could issue its
+        # revision for another state, unless it begins above it. A revision beyond the lead that both
+        # snapshots state is therefore reserved first. Trade-off: the client has to repeat its request, while
+        # the disk fails too.
+        if required_lead(next_revision, now_ms) > self.writer.durable_lead_ticks:
+            self._reserve(next_revision)
+            raise RevisionNotReservedError(revision)
         change_set = self.store.prepare((), now_ms, revision)
         assert change_set is not None, "a newer minimum revision always makes a change set"
         self.store.commit(change_set)
-        # Guard: the change log drops its oldest revisions for an empty change set, too. A watch that waits at
-        # one of them is due the complete list, which it would otherwise get at its deadline only.
-        self._on_change(self.store)
+        # Guard: an empty change set, too, can remove the oldest revision from the change log. Watches that
+        # wait at that revision are due the complete list; without a notification they get it at their
+        # deadline.
+        self._callbacks.on_change(self.store)
+
+    def _reserve(self, revision: int) -> None:
+        self._reserved_revision = max(self._reserved_revision, revision)
+        self._reservation_pending = True
+        self._start()
 
     def _start(self) -> None:
         if self._task is None:
@@ -136,22 +163,16 @@
         if change_set is None:
             return
         await self._write(change_set)
-        # The revision may have gone past a client's from another server meanwhile.
+        # A client of another server may have advanced the list's revision during the write.
         if change_set.revision <= self.store.revision:
             change_set = self.store.prepare(updates, self._clock_ms()) or change_set
         self._commit(change_set)
 
     async def _write(self, prepared: ChangeSet | None = None) -> None:
-        """Write a snapshot, with a prepared change set as if it were committed."""
-        revision = prepared.revision if prepared is not None else self.store.revision
+        """Write the list, as if the prepared change set were committed, with the lead that it requires."""
+        revision = self.store.revision if prepared is None else prepared.revision
         lead_ticks = required_lead(max(revision, self._reserved_revision), self._clock_ms())
-        snapshot = self.store.snapshot(prepared, lead_ticks)
-        previous_lead_ticks = self.writer.lead_ticks
-        await self.writer.write(snapshot)
-        # Guard: if the newest snapshot is damaged, the next process loads the previous one, with a lead that
-        # doesn't cover the revision. Once written twice, both have it.
-        if lead_ticks > previous_lead_ticks and not self.writer.outdated:
-            await self.writer.write(snapshot)
+        await self.writer.write(self.store.snapshot(prepared, lead_ticks))
 
     def _commit(self, change_set: ChangeSet) -> None:
         self.store.commit(change_set)
@@ -161,13 +182,9 @@
             revision=change_set.revision,
             entries=len(change_set.records),
         )
-        self._on_change(self.store)
+        self._callbacks.on_change(self.store)
 
     def _reject(self, error: UpdateError) -> None:
         self._log.error("update rejected, keeping last known good", list=self.store.name, error=str(error))
         self._pending.clear()
-        self.on_update_rejected()
-
-
-def _ignore() -> None:
-    pass
+        self._callbacks.on_update_rejected()
--- a/tests/discovery_server/model.py
+++ b/tests/discovery_server/model.py
@@ -20,7 +20,11 @@
 from loadbalancer.discovery_server.revisions import EPOCH_MS, TAG_BITS
 from loadbalancer.discovery_server.snapshot_store import SnapshotStore
 from loadbalancer.discovery_server.snapshot_writer import SnapshotWriter
-from loadbalancer.discovery_server.update_pipeline import RevisionNotStoredError, UpdatePipeline
+from loadbalancer.discovery_server.update_pipeline import (
+    RevisionNotReservedError,
+    UpdateCallbacks,
+    UpdatePipeline,
+)
 from loadbalancer.discovery_server.upstream_list import parse_upstream_list
 from loadbalancer.discovery_server.watch_registry import Watch, WatchRegistry
 from tests.support.model_time import ModelLoop
@@ -162,9 +166,12 @@
             self.cluster.record(store)
         writer = SnapshotWriter(self.snapshots, self.disk, self.cluster.log)
         self.pipeline = UpdatePipeline(
-            store, writer, self.cluster.now_ms, self.watches.notify, self.cluster.log
+            store,
+            writer,
+            UpdateCallbacks(self.watches.notify, self.disconnect),
+            self.cluster.now_ms,
+            self.cluster.log,
         )
-        self.pipeline.on_update_rejected = self.disconnect
         self.connection = None  # the upstream, and the revision last received on this connection
         self.rejected_revisions = []  # of unknown clients, whose requests wait for the disk
         self.alive = True
@@ -181,7 +188,7 @@
             raise ConnectionError
         try:
             return self.pipeline.response_since(revision)
-        except RevisionNotStoredError as error:
+        except RevisionNotReservedError as error:
             raise ConnectionError from error  # as after a 503
 
     def poll_upstream(self):
