--- a/loadbalancer/discovery_server/change_log.py
+++ b/loadbalancer/discovery_server/change_log.py
@@ -9,15 +9,18 @@
 
 
 class ChangeLog:
-    """The latest change sets, from which a client that holds one of their revisions is brought up to date.
+    """The latest change sets, from which a delta since one of their revisions is made.
 
-    A change set counts as one entry and one more a record. The oldest go once a limit is exceeded, also the
-    only one, so that the log may be empty after an append.
+    A change set counts as one entry, and one more for each record. Once a limit is exceeded the oldest change
+    sets are discarded, even the last one, so that the log may be empty after an append.
+
+    Attributes:
+        resumable_revisions: The revisions from which the log leads to the current one.
     """
 
     def __init__(self, max_entries: int, max_bytes: int) -> None:
-        """Keep at most so many entries, and so many bytes of the records' JSON."""
-        self.resumable_revisions: set[int] = set()  # those from which the log leads to the current one
+        """Create an empty log with limits on its entries and on the bytes of the records' JSON."""
+        self.resumable_revisions: set[int] = set()
         self._max_entries = max_entries
         self._max_bytes = max_bytes
         self._change_sets: deque[ChangeSet] = deque()
@@ -27,15 +30,15 @@
 
     @property
     def change_sets(self) -> tuple[ChangeSet, ...]:
-        """All that are kept, oldest first."""
+        """The change sets of the log, oldest first."""
         return tuple(self._change_sets)
 
     def base_revision(self, current: int) -> int:
-        """The revision before the oldest change set; the current one if there is none."""
+        """The revision before the oldest change set; `current` if the log is empty."""
         return self._base_revision if self.resumable_revisions else current
 
     def append(self, change_set: ChangeSet, previous_revision: int) -> None:
-        """Add the changes that follow this revision, and discard the oldest ones over the limits."""
+        """Append the change set that follows this revision, and discard the oldest ones beyond the limits."""
         if not self.resumable_revisions:
             self._base_revision = previous_revision
         self.resumable_revisions.add(previous_revision)
@@ -46,14 +49,14 @@
             self._discard_oldest()
 
     def restore(self, change_sets: Iterable[ChangeSet], base_revision: int) -> None:
-        """Append stored change sets, the first of which follows the base revision."""
+        """Append stored change sets; the first one follows the base revision."""
         previous_revision = base_revision
         for change_set in change_sets:
             self.append(change_set, previous_revision)
             previous_revision = change_set.revision
 
     def merged_since(self, revision: int) -> dict[str, EndpointRecord]:
-        """The last record of each endpoint that has changed since this resumable revision, by uid."""
+        """The last record, by uid, of each endpoint that has changed since this resumable revision."""
         records: dict[str, EndpointRecord] = {}
         for change_set in reversed(self._change_sets):
             if change_set.revision <= revision:
--- a/loadbalancer/discovery_server/endpoint_store.py
+++ b/loadbalancer/discovery_server/endpoint_store.py
@@ -1,11 +1,11 @@
-"""One endpoint list at its current revision. No I/O, no clock.
+"""The state of one endpoint list: its records, revision, change log and encoded responses. No I/O, no clock.
 
-The store is the only writer of the list's records, of its change log and of its revision.
+Only the store writes this state.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Sequence
+from collections.abc import Sequence
 
 from loadbalancer.discovery_server.change_log import ChangeLog
 from loadbalancer.discovery_server.config import ListLimits
@@ -21,22 +21,22 @@
 
 
 class UpdateError(ValueError):
-    """An update that can't be applied to the endpoint list."""
+    """An update that the endpoint list can't apply."""
 
 
 class MissingListError(UpdateError):
-    """Changes that arrived before the complete list that they change."""
+    """Changes that arrived before any complete list."""
 
     def __init__(self) -> None:
         super().__init__("changes arrived before the complete list")
 
 
 class ListLimitError(UpdateError):
-    """An update that would make the list larger than its limits.
+    """An update that would extend the list beyond its limits.
 
     Attributes:
-        entries: The entries that the list would have.
-        json_bytes: The bytes of their JSON.
+        entries: The number of entries that the list would have.
+        json_bytes: The size of their JSON, in bytes.
     """
 
     def __init__(self, entries: int, json_bytes: int) -> None:
@@ -46,19 +46,26 @@
 
 
 class EndpointStore:
-    """The state of an endpoint list. A change set is prepared, made durable elsewhere, then committed.
+    """One endpoint list. Its owner prepares a change set, stores it durably and then commits it.
 
     Attributes:
         name: The list's name in the configuration.
         revision: The current revision; 0 before the first list.
-        initialized: Whether a list has been committed or restored. Until then clients must get no response:
-            an empty list would take all endpoints away.
+        initialized: Whether a list has been committed or restored. Until then no client may get a response,
+            since an empty list removes all endpoints.
         records: The listed endpoints by uid, without tombstones.
         responses: The encoded responses at the current revision.
     """
 
     def __init__(self, name: str, tag: int, limits: ListLimits, now_ms: float) -> None:
-        """An uninitialized list of the server with this tag, at this Unix time in milliseconds."""
+        """Create an uninitialized list.
+
+        Args:
+            name: The list's name in the configuration.
+            tag: The server's own low bits of each revision.
+            limits: The limits of the list and of its change log.
+            now_ms: The Unix time in milliseconds.
+        """
         self.name = name
         self.revision = 0
         self.initialized = False
@@ -70,26 +77,24 @@
         self.responses = ResponseCache(self.records, self._change_log)
 
     def prepare(
-        self, updates: Iterable[EndpointUpdate], now_ms: float, minimum_revision: int = 0
+        self, updates: Sequence[EndpointUpdate], now_ms: float, minimum_revision: int = 0
     ) -> ChangeSet | None:
-        """The change set that these updates make, at a revision above the minimum; None if nothing changes.
+        """Issue a revision for the changes of these updates; None if they change nothing.
 
-        Changes nothing but that no later change set gets this one's revision.
+        The list stays as it is until the change set is committed. A minimum revision above the current one
+        makes a change set in any case, if need be without records.
+
+        Args:
+            updates: The updates, in the order of their arrival.
+            now_ms: The Unix time in milliseconds.
+            minimum_revision: The revision that the new one exceeds.
 
         Raises:
-            MissingListError: Changes came before any complete list.
+            MissingListError: Changes arrived before any complete list.
             ListLimitError: The list would grow beyond its limits.
         """
-        changes: dict[str, EndpointRecord] = {}
-        initialized = self.initialized
-        for update in updates:
-            if update.complete:
-                initialized = True
-                self._merge_complete_list(changes, update.records)
-            elif not initialized:
-                raise MissingListError
-            else:
-                changes.update((record.uid, record) for record in update.records)
+        initialized = self.initialized or any(update.complete for update in updates)
+        changes = self._merge(updates)
         changed = tuple(record for record in changes.values() if self._differs(record))
         self._check_limits(changed)
         if not initialized or (self.initialized and not changed and minimum_revision <= self.revision):
@@ -97,16 +102,16 @@
         return ChangeSet(self._clock.issue(now_ms, self.revision, minimum_revision), changed)
 
     def next_revision(self, now_ms: float, minimum_revision: int = 0) -> int:
-        """The revision that a change set prepared now would have."""
+        """The revision that `prepare` would issue now."""
         return self._clock.next_revision(now_ms, self.revision, minimum_revision)
 
     def commit(self, change_set: ChangeSet) -> None:
-        """Make a prepared change set part of all responses from now on."""
+        """Apply a prepared change set to the list; all later responses include it."""
         assert change_set.revision > self.revision, "a revision must not go back"
         for record in change_set.records:
             self._apply(record)
-        # Guard: a delta from revision 0, to a client with a list from another server, would leave the rest of
-        # that list in place.
+        # Guard: a client at revision 0 may hold a list of another server. A delta since revision 0 would
+        # leave the endpoints of that list in place, so the first list has no entry in the change log.
         if self.initialized:
             self._change_log.append(change_set, self.revision)
         self.revision = change_set.revision
@@ -114,11 +119,16 @@
         self.responses.reset(self.revision, self._json_bytes)
 
     def is_outdated_for(self, revision: int, now_ms: float) -> bool:
-        """Whether a client holds a newer revision: another server's, or one that this disk has lost."""
+        """Whether a client holds a newer revision: of another server, or one that this disk has lost."""
         return revision > self.revision and is_plausible(revision, now_ms)
 
     def snapshot(self, prepared: ChangeSet | None = None, lead_ticks: int = STARTUP_LEAD_TICKS) -> Snapshot:
-        """All of the list, with a prepared change set as if it were committed, and with this lead."""
+        """The list as a snapshot.
+
+        Args:
+            prepared: A change set that the snapshot includes as if it were committed.
+            lead_ticks: The lead over the clock with which the next process begins.
+        """
         records = self.records
         change_sets = self._change_log.change_sets
         revision = self.revision
@@ -143,7 +153,7 @@
         )
 
     def restore(self, snapshot: Snapshot, now_ms: float) -> None:
-        """Continue from what an earlier process stored. Only before the first commit."""
+        """Continue from the snapshot of an earlier process. Only before the first commit."""
         assert not self.initialized, "a list is restored before its first commit"
         self._clock.resume_after(snapshot.revision, snapshot.lead_ticks, now_ms)
         for record in snapshot.records:
@@ -153,10 +163,24 @@
         self.initialized = True
         self.responses.reset(self.revision, self._json_bytes)
 
+    def _merge(self, updates: Sequence[EndpointUpdate]) -> dict[str, EndpointRecord]:
+        """The last record, by uid, of each endpoint in these updates."""
+        changes: dict[str, EndpointRecord] = {}
+        initialized = self.initialized
+        for update in updates:
+            if update.complete:
+                initialized = True
+                self._merge_complete_list(changes, update.records)
+            elif not initialized:
+                raise MissingListError
+            else:
+                changes.update((record.uid, record) for record in update.records)
+        return changes
+
     def _merge_complete_list(
         self, changes: dict[str, EndpointRecord], records: Sequence[EndpointRecord]
     ) -> None:
-        """Add the changes that lead to this complete list: what it lacks becomes a tombstone."""
+        """Add the changes that lead to this complete list; an endpoint that it lacks becomes a tombstone."""
         listed = {record.uid: record for record in records if not record.removed}
         for current in [*self.records.values(), *changes.values()]:
             latest = changes.get(current.uid, current)
@@ -178,7 +202,8 @@
             if not record.removed:
                 entries += 1
                 json_bytes += len(record.entry_json)
-        # Guard: a list that is over its limits already must still be able to shrink.
+        # Guard: after a restart with lower limits, a list can exceed them. Updates that shrink it must not be
+        # rejected, so its present size is allowed.
         max_entries = max(self._limits.max_entries, len(self.records))
         max_bytes = max(self._limits.max_bytes, self._json_bytes)
         if entries > max_entries or json_bytes > max_bytes:
@@ -194,7 +219,7 @@
 
 
 def _replace(records: dict[str, EndpointRecord], record: EndpointRecord) -> None:
-    """Put the record at the end of the list, or take its endpoint away."""
+    """Move the record to the end of the list, or remove its endpoint."""
     records.pop(record.uid, None)
     if not record.removed:
         records[record.uid] = record
--- a/loadbalancer/discovery_server/records.py
+++ b/loadbalancer/discovery_server/records.py
@@ -1,20 +1,20 @@
-"""Values that the parts of the discovery server exchange: records, updates, change sets, snapshots."""
+"""The values that the modules of the discovery server exchange: records, updates, change sets, snapshots."""
 
 from __future__ import annotations
 
 import msgspec
 import orjson
 
-REMOVED_STATE = "Gone"  # what the protocol calls an endpoint that is no longer listed
+REMOVED_STATE = "Gone"  # the protocol's state of an endpoint that is no longer listed
 
 
 class EndpointRecord(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """An endpoint's entry of the list in the form that goes over the wire.
+    """An endpoint's entry of the list, in its wire form.
 
     Attributes:
-        uid: The endpoint's identity, which no restart changes.
-        entry_json: The whole entry as JSON.
-        removed: Whether the entry says that the endpoint is gone: such a record is a tombstone.
+        uid: The endpoint's identity, which survives its restarts.
+        entry_json: The complete entry as JSON.
+        removed: Whether the endpoint is no longer listed; such a record is a tombstone.
     """
 
     uid: str
@@ -23,21 +23,31 @@
 
 
 class EndpointUpdate(msgspec.Struct, frozen=True):
-    """What an upstream sent: the complete list, or changes to the list that it sent before."""
+    """An update from an upstream.
+
+    Attributes:
+        complete: Whether the records are the complete list, not changes to the list that was sent before.
+        records: The records, in the upstream's order.
+    """
 
     complete: bool
     records: tuple[EndpointRecord, ...]
 
 
 class ChangeSet(msgspec.Struct, frozen=True, array_like=True):
-    """The changes that lead to a revision; without records where only the revision had to go up."""
+    """The changes that lead to a revision.
+
+    Attributes:
+        revision: The revision after the changes.
+        records: The changed endpoints; empty if only the revision rises, for a client of another server.
+    """
 
     revision: int
     records: tuple[EndpointRecord, ...] = ()
 
     @property
     def json_bytes(self) -> int:
-        """The bytes of JSON of all its entries."""
+        """The size of all entries' JSON, in bytes."""
         return sum(len(record.entry_json) for record in self.records)
 
 
@@ -47,19 +57,19 @@
     omit_defaults=True,
     rename={"records": "rows", "base_revision": "base", "change_sets": "steps", "lead_ticks": "lead"},
 ):
-    """All of an endpoint list that a restart has to find again.
+    """The state of an endpoint list that survives a restart.
 
     The stored field names are those of the first version, so that all versions read each other's files.
 
     Attributes:
         name: The list's name in the configuration.
-        tag: The discovery server's own low bits of each revision.
+        tag: The low bits of each revision, which differ from server to server.
         revision: The revision of the records.
-        records: The endpoints that are listed at this revision, without tombstones.
+        records: The listed endpoints at this revision, without tombstones.
         base_revision: The revision before the first of the change sets.
         change_sets: The change log, oldest first.
-        lead_ticks: How far ahead of its clock the next process has to begin, in ticks; 0 in the files of
-            versions that did not store it.
+        lead_ticks: The lead over the clock, in ticks, with which the next process begins; 0 in the files of
+            versions that stored none.
     """
 
     name: str
@@ -72,10 +82,10 @@
 
 
 def record_from_entry(entry: dict[str, object]) -> EndpointRecord:
-    """The record of an entry that has passed the protocol's parser."""
+    """The record of an entry that the protocol's parser has accepted."""
     return EndpointRecord(str(entry["uid"]), orjson.dumps(entry), entry["state"] == REMOVED_STATE)
 
 
 def tombstone(record: EndpointRecord) -> EndpointRecord:
-    """The record that tells clients of this endpoint's removal."""
+    """The record that removes this endpoint from the lists of clients."""
     return record_from_entry({**orjson.loads(record.entry_json), "state": REMOVED_STATE})
--- a/loadbalancer/discovery_server/response_cache.py
+++ b/loadbalancer/discovery_server/response_cache.py
@@ -9,19 +9,22 @@
 from loadbalancer.discovery_server.change_log import ChangeLog
 from loadbalancer.discovery_server.records import EndpointRecord
 
-MAX_CACHED_DELTAS = 64  # of one revision; the oldest goes first
+MAX_CACHED_DELTAS = 64  # deltas to the current revision; the oldest is discarded first
 
 
 class ResponseCache:
-    """Encodes each response once: the same bytes for all clients that hold the same revision.
+    """Encodes each response once, for all clients that hold the same revision.
 
-    It reads the records and the change log, which the endpoint store alone writes; after each write the store
-    calls `reset`.
+    The cache reads the records and the change log of the endpoint store, which calls `reset` after each
+    change.
+
+    Attributes:
+        encodings: The number of responses encoded since the start.
     """
 
     def __init__(self, records: Mapping[str, EndpointRecord], change_log: ChangeLog) -> None:
-        """Serve responses from these records, by uid, and from this log."""
-        self.encodings = 0  # responses encoded since the start
+        """Create the responses of these records, by uid, and of this log."""
+        self.encodings = 0
         self._records = records
         self._change_log = change_log
         self._revision = 0
@@ -31,17 +34,17 @@
         self._deltas: dict[int, bytes | None] = {}
 
     def reset(self, revision: int, list_bytes: int) -> None:
-        """Forget the responses: the records, with so many bytes of JSON, are now those of this revision."""
+        """Discard the responses; the records are now those of this revision, with `list_bytes` of JSON."""
         self._revision = revision
         self._list_bytes = list_bytes
         self._complete = self._unchanged = None
         self._deltas.clear()
 
     def since(self, revision: int | None) -> bytes | None:
-        """The body for a client that holds this revision, or none; None if nothing has changed for it.
+        """The body for a client that holds this revision, or no list; None if the client is up to date.
 
-        A delta, merged by uid, where the log reaches back that far and the delta is the shorter one;
-        otherwise the complete list.
+        The body is a delta merged by uid if the log reaches back to the revision and the delta is shorter
+        than the list, otherwise the complete list.
         """
         if revision == self._revision:
             return None
@@ -60,7 +63,7 @@
         return self._complete
 
     def unchanged(self) -> bytes:
-        """The body without entries, for a watch whose time is over before anything has changed."""
+        """The body without entries, for a watch that reaches its deadline without a change."""
         if self._unchanged is None:
             self._unchanged = self._encode((), complete=False)
         return self._unchanged
--- a/loadbalancer/discovery_server/snapshot_store.py
+++ b/loadbalancer/discovery_server/snapshot_store.py
@@ -1,4 +1,4 @@
-"""Snapshots of endpoint lists on the disk: complete, checked and never written in place."""
+"""Snapshot files of endpoint lists: atomically replaced, with a length and a checksum."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from loadbalancer.discovery_server.records import Snapshot
 
-MAGIC = b"orchidledge directory 1\n"  # the program's earlier name: files of all versions begin with it
+MAGIC = b"orchidledge directory 1\n"  # an earlier name of the program; files of all versions begin with it
 LENGTH_BYTES = 8
 DIGEST_BYTES = 16
 DIGEST_START = len(MAGIC) + LENGTH_BYTES
@@ -19,27 +19,32 @@
 
 
 class SnapshotError(ValueError):
-    """A file that is not a complete and unchanged snapshot of this list."""
+    """A file that is not a complete, undamaged snapshot of this list."""
 
 
 class LoadedSnapshot(NamedTuple):
-    """The newest good snapshot, if there is one, and what is wrong with each newer file."""
+    """The newest valid snapshot.
+
+    Attributes:
+        snapshot: The snapshot; None without a valid file.
+        errors: The fault of each newer file.
+    """
 
     snapshot: Snapshot | None
     errors: list[str]
 
 
 def encode(snapshot: Snapshot) -> bytes:
-    """The bytes of a snapshot's file: magic, length, digest and the MessagePack body."""
+    """The content of a snapshot's file: magic, length, digest and MessagePack body."""
     body = msgspec.msgpack.encode(snapshot)
     return MAGIC + len(body).to_bytes(LENGTH_BYTES, "big") + _digest(body) + body
 
 
 def decode(data: bytes, name: str) -> Snapshot:
-    """The snapshot of the list of this name in a file's bytes.
+    """The snapshot in the content of a file, which must be of the list of this name.
 
     Raises:
-        SnapshotError: A byte is missing, changed or too many, or the snapshot is of another list.
+        SnapshotError: A byte is missing, changed or added, or the snapshot is of another list.
     """
     body = data[BODY_START:]
     if len(data) < BODY_START or not data.startswith(MAGIC):
@@ -62,18 +67,24 @@
 
 
 class SnapshotStore:
-    """The newest snapshot of one list and the one before. One writer at a time; its methods block."""
+    """The newest snapshot file of one list and the previous one. Its methods block; one writer at a time.
+
+    Attributes:
+        name: The list's name in the configuration.
+        newest: The path of the newest snapshot.
+        previous: The path of the snapshot before it.
+    """
 
     def __init__(self, directory: Path, name: str) -> None:
-        """The files of the list of this name in this directory, which exists."""
+        """Use the files of the list of this name in an existing directory."""
         self.name = name
         self.newest = directory / f"{name}.snapshot"
         self.previous = directory / f"{name}.snapshot.previous"
         self._temporary = directory / f"{name}.snapshot.new"
-        self._newest_is_valid = False  # so that it may replace the previous one
+        self._newest_is_valid = False  # only a valid one replaces the previous one
 
     def load(self) -> LoadedSnapshot:
-        """Read the newest file that is a good snapshot. A file that is missing is no error."""
+        """Read the newest valid snapshot. A missing file is no error."""
         errors: list[str] = []
         for path in (self.newest, self.previous):
             try:
@@ -93,13 +104,14 @@
         """Make this the newest snapshot, durably.
 
         Raises:
-            OSError: It failed; the files that were there are still there.
+            OSError: The write failed; the earlier files remain.
         """
         with self._temporary.open("wb") as file:
             file.write(encode(snapshot))
             file.flush()
             os.fsync(file.fileno())
-        # Guard: a newest file that was found damaged would take the place of the one good snapshot.
+        # Guard: after a start with a damaged newest file, that file would replace the only valid snapshot. It
+        # is therefore overwritten, and the previous one stays.
         if self._newest_is_valid:
             self.newest.replace(self.previous)
         self._temporary.replace(self.newest)
--- a/loadbalancer/discovery_server/watch_registry.py
+++ b/loadbalancer/discovery_server/watch_registry.py
@@ -1,8 +1,8 @@
-"""The waiting watches of all lists of a process, and their responses in batches. No I/O; times in ms.
+"""The waiting watches of all lists of a process, and their completion in batches. No I/O; times in ms.
 
-A change moves the watches that it concerns to the outbox; `flush` responds from there, with the list as it is
-by then. So several changes at one moment make one response, and a change for thousands of watches is written
-in batches, between which the event loop does other work.
+A change moves the watches that are due a response to the outbox. `flush` completes a batch of them with the
+list as it is then. A burst of changes therefore makes one response, and the event loop does other work
+between the batches of a change for thousands of watches.
 """
 
 from __future__ import annotations
@@ -13,17 +13,23 @@
 
 from loadbalancer.discovery_server.endpoint_store import EndpointStore
 
-DEADLINE_TICK_MS = 20.0  # to which deadlines are rounded up
-SendBody = Callable[[bytes], None]  # takes the body of the one response
+DEADLINE_TICK_MS = 20.0  # deadlines are rounded up to a multiple of it
+SendBody = Callable[[bytes], None]  # sends the response with this body
 
 
 class Watch:
-    """One waiting request: its list, the revision that its client holds, and where its response goes."""
+    """One waiting request for changes.
+
+    Attributes:
+        store: The list.
+        revision: The revision that the client holds.
+        deadline_tick: The deadline, in ticks of `DEADLINE_TICK_MS`; set by the registry.
+    """
 
     __slots__ = ("_send_body", "deadline_tick", "revision", "store")
 
     def __init__(self, store: EndpointStore, revision: int, send_body: SendBody) -> None:
-        """A watch of the store's list; `send_body` is called at most once."""
+        """Create a watch of the store's list; `send_body` is called at most once."""
         self.store = store
         self.revision = revision
         self.deadline_tick = 0
@@ -31,42 +37,43 @@
 
     @property
     def finished(self) -> bool:
-        """Whether it has been completed or cancelled."""
+        """Whether the watch has been completed or cancelled."""
         return self._send_body is None
 
     def cancel(self) -> None:
-        """Its client has disconnected: it gets no response."""
-        self._send_body = None  # it holds the connection
+        """End the watch without a response: its client has disconnected."""
+        self._send_body = None  # releases the connection
 
     def complete(self, body: bytes) -> None:
-        """Send the response, unless one has been sent or the watch was cancelled."""
+        """Send the response, unless the watch has been completed or cancelled."""
         send_body, self._send_body = self._send_body, None
         if send_body is not None:
             send_body(body)
 
 
 class WatchRegistry:
-    """Holds watches up to a limit. Each gets one response: after a change, at its deadline or at shutdown.
+    """Holds watches up to a limit, and completes each one after a change, at its deadline or at shutdown.
 
     Attributes:
-        count: Watches without a response, those in the outbox included.
-        completed: Responses since the start.
+        count: The number of watches without a response, including those in the outbox.
+        completed: The number of completed watches since the start.
     """
 
     def __init__(self, limit: int) -> None:
-        """An empty registry for at most so many watches."""
+        """Create an empty registry for at most `limit` watches."""
         self.count = 0
         self.completed = 0
         self._limit = limit
-        self._by_revision: dict[EndpointStore, dict[int, dict[Watch, None]]] = {}  # by list and revision held
-        # A timer wheel: watches by the tick of their deadline. A timer each, left behind by every watch that
-        # a change completed, would stay for up to a minute.
+        self._by_revision: dict[EndpointStore, dict[int, dict[Watch, None]]] = {}
+        # Guard: with one event loop timer a watch, the timer of a watch that a change completed would stay in
+        # the loop until its deadline, up to a minute. The timer wheel holds the watches by deadline tick
+        # instead.
         self._by_deadline: dict[int, dict[Watch, None]] = {}
         self._deadline_ticks: list[int] = []  # a heap of the wheel's keys
         self._outbox: deque[Watch] = deque()
 
     def add(self, watch: Watch, deadline_ms: float) -> bool:
-        """Let it wait until its deadline; False if there are too many watches already."""
+        """Hold the watch until its deadline; False, without holding it, if the registry is full."""
         if self.count >= self._limit:
             return False
         self.count += 1
@@ -78,45 +85,46 @@
         return True
 
     def cancel(self, watch: Watch) -> None:
-        """Forget a watch whose client has disconnected."""
+        """Remove a watch whose client has disconnected."""
         if not watch.finished:
             watch.cancel()
             self.count -= 1
             self._remove(watch)
 
     def notify(self, store: EndpointStore) -> None:
-        """The list has changed: watches with a new response get it with the next flushes."""
+        """Move the watches that the list's change concerns to the outbox."""
         for revision, watches in list(self._by_revision.get(store, {}).items()):
             if store.responses.since(revision) is not None:
                 for watch in list(watches):
                     self._move_to_outbox(watch)
 
     def expire(self, now_ms: float) -> None:
-        """Watches whose deadline has passed get their response with the next flushes."""
+        """Move the watches whose deadline has passed to the outbox."""
         while self._deadline_ticks and self._deadline_ticks[0] * DEADLINE_TICK_MS <= now_ms:
-            # An emptied tick may have been left in the heap, and be in it twice.
-            for watch in list(self._by_deadline.get(heapq.heappop(self._deadline_ticks), ())):
+            # The heap may hold a tick whose watches have ended, and hold a tick twice.
+            deadline_tick = heapq.heappop(self._deadline_ticks)
+            for watch in list(self._by_deadline.get(deadline_tick, ())):
                 self._move_to_outbox(watch)
 
     def complete_all(self) -> None:
-        """The process shuts down: all watches get their response with the next flushes."""
+        """Move all watches to the outbox, for a shutdown."""
         for watch in [watch for watches in self._by_deadline.values() for watch in watches]:
             self._move_to_outbox(watch)
 
     @property
     def next_deadline_ms(self) -> float | None:
-        """When `expire` must be called next; None if nothing waits."""
+        """The time at which `expire` has to be called next; None without a waiting watch."""
         while self._deadline_ticks and self._deadline_ticks[0] not in self._by_deadline:
             heapq.heappop(self._deadline_ticks)
         return self._deadline_ticks[0] * DEADLINE_TICK_MS if self._deadline_ticks else None
 
     @property
     def outbox_size(self) -> int:
-        """Watches that the next flushes complete, with those whose clients have disconnected since."""
+        """The number of watches in the outbox, including those whose clients have disconnected since."""
         return len(self._outbox)
 
     def flush(self, batch_size: int) -> bool:
-        """Complete at most so many watches of the outbox; whether there are more."""
+        """Complete at most `batch_size` watches of the outbox; True if more remain."""
         for _ in range(min(batch_size, len(self._outbox))):
             watch = self._outbox.popleft()
             if not watch.finished:
