--- a/loadbalancer/discovery_server/watch_registry.py
+++ b/loadbalancer/discovery_server/watch_registry.py
@@ -93,11 +93,15 @@
 
     def notify(self, store: EndpointStore) -> None:
         """Move the watches that the list's change concerns to the outbox."""
-        for revision, watches in list(self._by_revision.get(store, {}).items()):
+        for revision in self.waiting_revisions(store):
             if store.responses.since(revision) is not None:
-                for watch in list(watches):
+                for watch in list(self._by_revision[store][revision]):
                     self._move_to_outbox(watch)
 
+    def waiting_revisions(self, store: EndpointStore) -> list[int]:
+        """The revisions at which watches of the list wait."""
+        return list(self._by_revision.get(store, ()))
+
     def expire(self, now_ms: float) -> None:
         """Move the watches whose deadline has passed to the outbox."""
         while self._deadline_ticks and self._deadline_ticks[0] * DEADLINE_TICK_MS <= now_ms:
--- a/tests/discovery_server/model.py
+++ b/tests/discovery_server/model.py
@@ -1,23 +1,19 @@
-"""Stand-ins for a model of the discovery servers: registry, wire, disk and clock.
+"""Modelled discovery servers and nodes, without sockets and in model time.
 
-Stores, watches and snapshots are the real ones. What is drawn at random is up to the test. The model records
-what each server held at each revision that it issued.
+Pipelines, stores, watches and snapshots are the real ones. The cluster records the list of each revision.
 """
 
 from __future__ import annotations
 
 import asyncio
-import tempfile
-from concurrent.futures import Executor, Future
 from pathlib import Path
 
 import orjson
-import structlog
 
 from loadbalancer.discovery_server import snapshot_store
 from loadbalancer.discovery_server.config import ListLimits
 from loadbalancer.discovery_server.endpoint_store import EndpointStore
-from loadbalancer.discovery_server.revisions import EPOCH_MS, TAG_BITS
+from loadbalancer.discovery_server.revisions import TAG_BITS
 from loadbalancer.discovery_server.snapshot_store import SnapshotStore
 from loadbalancer.discovery_server.snapshot_writer import SnapshotWriter
 from loadbalancer.discovery_server.update_pipeline import (
@@ -27,7 +23,7 @@
 )
 from loadbalancer.discovery_server.upstream_list import parse_upstream_list
 from loadbalancer.discovery_server.watch_registry import Watch, WatchRegistry
-from tests.support.model_time import ModelLoop
+from tests.discovery_server.model_environment import ModelDisk
 
 LIST_NAME = "s"
 WATCH_TIMEOUT_MS = 3000.0
@@ -35,100 +31,6 @@
 MAX_LOG_ENTRIES = 7
 
 
-class ModelDisk(Executor):
-    """Writes at once or, while it is slow, once it is told to; while it is full, all writes fail."""
-
-    def __init__(self):
-        self.slow = self.full = False
-        self.pending = []
-
-    def submit(self, fn, /, *args):
-        future = Future()
-        self.pending.append((future, fn, args))
-        if not self.slow:
-            self.run_pending()
-        return future
-
-    def run_pending(self):
-        pending, self.pending = self.pending, []
-        for future, fn, args in pending:
-            if self.full:
-                future.set_exception(OSError(28, "No space left on device"))
-            else:
-                fn(*args)
-                future.set_result(None)
-
-
-class ModelRegistry:
-    """The truth: an entry's `version` says which change it is of."""
-
-    def __init__(self):
-        self.revision, self.version, self.entries = 1, 0, {}
-        self.log = []  # (revision, entry)
-
-    def set(self, uid, state):
-        if state == "Gone" and uid not in self.entries:
-            return
-        self.version += 1
-        entry = {"uid": uid, "endpoint": "127.0.0.1:9", "state": state, "version": self.version}
-        self.revision += 1
-        self.log.append((self.revision, entry))
-        self.entries.pop(uid, None)
-        if state != "Gone":
-            self.entries[uid] = entry
-
-    def restart(self, revision):
-        """Count revisions anew, without the changes of before."""
-        self.revision, self.log = revision, []
-
-    def response_since(self, revision):
-        if revision is None or not any(logged == revision + 1 for logged, _ in self.log):
-            if revision == self.revision:
-                return None
-            return self._encode(True, list(self.entries.values()))
-        return self._encode(False, [entry for logged, entry in self.log if logged > revision])
-
-    def _encode(self, complete, entries):
-        return orjson.dumps({"rev": self.revision, "all": complete, "targets": entries})
-
-
-class ModelCluster:
-    """What all servers and nodes share: loop, clock, the disk's directory, the record of revisions."""
-
-    def __init__(self):
-        self.loop = ModelLoop()
-        self.directory = tempfile.TemporaryDirectory()
-        self.log = structlog.testing.CapturingLogger()
-        self.registry = ModelRegistry()
-        self.clock_offset_ms = 0.0
-        self.issued = {}  # by revision: what the server that issued it held, uid to version
-        self.faults = []  # an exception would end a task unseen
-
-    def now_ms(self):
-        return EPOCH_MS + 1e11 + self.clock_offset_ms + self.loop.time() * 1000.0
-
-    def record(self, store):
-        view = {record.uid: orjson.loads(record.entry_json)["version"] for record in store.records.values()}
-        if self.issued.setdefault(store.revision, view) != view:
-            self.faults.append(f"one revision for two states: {view} and {self.issued[store.revision]}")
-
-    def run(self, seconds=0.001):
-        """Let what has been started continue; a pending write may stay pending."""
-        self.loop.run_until_complete(asyncio.sleep(seconds))
-
-    def call(self, function, *args):
-        """What the function returns, called within the running loop."""
-
-        async def call():
-            return function(*args)
-
-        return self.loop.run_until_complete(call())
-
-    def close(self):
-        self.loop.close()
-        self.directory.cleanup()
-
-
 class RecordingStore(EndpointStore):
     """Records each commit, and checks that its snapshot is on the disk before any client sees it."""
 
@@ -147,7 +49,7 @@
 
 
 class ModelServer:
-    """A discovery server; of its follower only what it requests, and what it does with the answer."""
+    """A discovery server; its upstream follower is reduced to polls and the handling of their responses."""
 
     def __init__(self, cluster, name, tag, upstreams):
         self.cluster, self.tag, self.upstreams = cluster, tag, upstreams
@@ -192,7 +94,7 @@
             raise ConnectionError from error  # as after a 503
 
     def poll_upstream(self):
-        """The follower's next request; a failure or a lost connection takes it to the next upstream."""
+        """Send the follower's next request; a failed one selects the next upstream."""
         upstream, revision = self.connection or (self.upstreams[0], None)
         try:
             body = upstream.response_since(revision)
@@ -221,7 +123,7 @@
         self.watches.expire(now_ms)
 
     def kill(self):
-        """As by SIGKILL: what was not on the disk is lost."""
+        """End the process as by SIGKILL: only its files remain."""
         self.alive = False
         if self.pipeline._task is not None:
             self.pipeline._task.cancel()
@@ -230,7 +132,7 @@
 
 
 class ModelNode:
-    """Sends requests as the watch client does, from the revision it holds, to any server."""
+    """A node, which polls any server from the revision that it holds."""
 
     def __init__(self, cluster, server):
         self.cluster, self.server = cluster, server
@@ -268,8 +170,7 @@
         assert revision >= self.revision, "a revision went back"
         repeated = set() if complete else self.repeated_uids(entries, revision)
         assert not repeated, f"received twice: {repeated}"
-        # A removal stays in what was received: one added and removed in between may come as a tombstone
-        # alone.
+        # Tombstones are kept, since an endpoint that was added and removed in between may come as one.
         self.received = entries if complete else self.received | entries
         self.view = {uid: version for uid, (state, version) in self.received.items() if state != "Gone"}
         assert len(self.view) == len(entries) or not complete
@@ -277,9 +178,9 @@
         assert self.view == self.cluster.issued[revision], "not what the server held at this revision"
 
     def repeated_uids(self, entries, revision):
-        """Entries of a delta that say what was received before, though they had not changed in between.
+        """The entries of a delta that repeat the last ones received, without a change in between.
 
-        What had changed, and back, does come again: an endpoint that a server's disk had lost.
+        An entry that changed and changed back may be repeated: a server lost it with its disk.
         """
         tag = revision % (1 << TAG_BITS)
         between = [
--- a/tests/discovery_server/test_server_model.py
+++ b/tests/discovery_server/test_server_model.py
@@ -1,252 +1,24 @@
-"""Every change reaches every watch exactly once and in order: discovery servers in model time, faults drawn.
+"""Every change reaches every watch exactly once and in order: discovery servers in model time, random faults.
 
-A registry, a region's servers, two zones' and watches. What a client holds at a revision must be what the
-server held at that revision, whatever came between.
+The data that a client holds at a revision must be the data that the server held at that revision.
 """
 
 from __future__ import annotations
 
-import orjson
 import pytest
 from hypothesis import HealthCheck, seed, settings
-from hypothesis import strategies as st
-from hypothesis.stateful import (
-    RuleBasedStateMachine,
-    initialize,
-    invariant,
-    rule,
-    run_state_machine_as_test,
-)
+from hypothesis.stateful import run_state_machine_as_test
 
 from loadbalancer.discovery_server import snapshot_store
-from loadbalancer.discovery_server.revisions import TAG_BITS
-from tests.discovery_server.model import ModelCluster, ModelNode, ModelServer
+from tests.discovery_server.model_rules import DiskRules, RegistryRules, ServerRules
 
-UIDS = ["s0", "s1", "s2", "s3"]
-STATES = ["Ready", "Terminating", "Gone", "Gone"]
-UNKNOWN_TAG = 77
-RESTART_S = [1.0, 1.02, 1.5]
 SEEDS = range(1, 7)
 RUNS_PER_SEED = 50
-STEPS_PER_RUN = 50
-SERVERS = st.integers(0, 3)
-NODES = st.integers(0, 3)
+ACTIONS_PER_RUN = 50
 
 
-class DiscoveryModel(RuleBasedStateMachine):
-    def __init__(self):
-        super().__init__()
-        self.cluster = ModelCluster()
-        self.registry = self.cluster.registry
-        self.servers, self.nodes = [], []
-
-    @initialize()
-    def start_servers_and_nodes(self):
-        region = [ModelServer(self.cluster, f"region-{at}", at, [self.registry]) for at in range(2)]
-        zones = [
-            ModelServer(self.cluster, f"zone-{at}", 2 + at, region[at:] + region[:at]) for at in range(2)
-        ]
-        self.servers = [*region, *zones]
-        self.nodes = [ModelNode(self.cluster, zones[at % 2]) for at in range(3)]
-        self.nodes.append(ModelNode(self.cluster, region[0]))
-
-    @rule(uid=st.sampled_from(UIDS), state=st.sampled_from(STATES), propagated=st.booleans())
-    def change(self, uid, state, propagated):
-        self.registry.set(uid, state)
-        if propagated:
-            self.propagate()
-
-    @rule()
-    def propagate(self):
-        """One round of requests everywhere."""
-        for server in self.servers:
-            if server.alive:
-                server.poll_upstream_and_run()
-                server.flush()
-        for node in self.nodes:
-            node.request()
-
-    @rule()
-    def propagate_with_expiry(self):
-        self.propagate()
-        self.time_passes(4.0)
-        for server in self.servers:
-            server.flush()
-        self.propagate()
-
-    @rule(
-        server=SERVERS,
-        uids=st.lists(st.sampled_from(UIDS), min_size=1, max_size=3),
-        state=st.sampled_from(STATES),
-        unknown_client=st.booleans(),
-        full=st.booleans(),
-    )
-    def change_while_the_disk_is_slow(self, server, uids, state, unknown_client, full):
-        """The first change waits for the disk; what comes meanwhile waits behind it."""
-        self.disk_turns_slow(server)
-        for uid in uids:
-            self.registry.set(uid, state)
-            self.propagate()
-        if unknown_client:
-            self.request_from_an_unknown_revision(server, 30)
-        self.disk_continues(server, full)
-        self.propagate()
-
-    @rule(revision=st.integers(0, 30))
-    def registry_restarts(self, revision):
-        self.registry.restart(revision)
-        for server in self.servers[:2]:
-            server.disconnect()
-
-    @rule(server=SERVERS)
-    def server_polls_its_upstream(self, server):
-        if self.servers[server].alive:
-            self.servers[server].poll_upstream_and_run()
-
-    @rule(server=SERVERS)
-    def upstream_connection_is_lost(self, server):
-        self.servers[server].disconnect()
-
-    @rule(server=SERVERS)
-    def disk_turns_slow(self, server):
-        self.servers[server].disk.slow = True
-
-    @rule(server=SERVERS, full=st.booleans())
-    def disk_continues(self, server, full):
-        disk = self.servers[server].disk
-        disk.full = full
-        disk.run_pending()
-        disk.slow = False
-        self.cluster.run()
-        disk.full = False
-        if self.servers[server].alive and not full:
-            self.check_rejected_clients_are_served(server)
-
-    @rule(server=SERVERS)
-    def kill(self, server):
-        """As by SIGKILL: waiting clients and following servers are cut off."""
-        killed = self.servers[server]
-        killed.alive = False
-        for node in self.nodes:
-            if node.server is killed:
-                node.disconnect()
-        for follower in self.servers:
-            if follower.connection is not None and follower.connection[0] is killed:
-                follower.disconnect()
-        killed.kill()
-
-    @rule(
-        server=SERVERS,
-        damage=st.sampled_from(["", "", "newest cut", "newest missing", "all missing"]),
-        fraction=st.floats(0.0, 0.999),
-        clock_ms=st.sampled_from([0.0, 0.0, 0.0, 500.0, -500.0]),
-        seconds=st.sampled_from(RESTART_S),
-    )
-    def restart(self, server, damage, fraction, clock_ms, seconds):
-        """A second at the soonest after the process before it began, as a restart takes."""
-        self.kill(server)
-        self.cluster.run(seconds)
-        self.cluster.clock_offset_ms += clock_ms
-        restarted = self.servers[server]
-        newest = restarted.path / "s.snapshot"
-        if damage and newest.exists():
-            data = newest.read_bytes()
-            newest.unlink()
-            if damage == "newest cut":
-                newest.write_bytes(data[: int(fraction * len(data))])
-            elif damage == "all missing":
-                (restarted.path / "s.snapshot.previous").unlink(missing_ok=True)
-        restarted.start()
-
-    @rule(node=NODES)
-    def node_sends_a_request(self, node):
-        self.nodes[node].request()
-
-    @rule(node=NODES)
-    def node_disconnects(self, node):
-        self.nodes[node].disconnect()
-
-    @rule(node=NODES, server=SERVERS)
-    def node_moves_to_another_server(self, node, server):
-        self.nodes[node].disconnect()
-        self.nodes[node].server = self.servers[server]
-
-    @rule(server=SERVERS, ticks=st.integers(-3, 30_000))
-    def request_from_an_unknown_revision(self, server, ticks):
-        """An unidentified client, or a node of a server that no longer exists."""
-        asked = self.servers[server]
-        if asked.alive and asked.store.initialized:
-            revision = asked.store.revision + (ticks << TAG_BITS) + UNKNOWN_TAG
-            try:
-                self.check_unknown_client_is_served(server, revision)
-            except ConnectionError:
-                asked.rejected_revisions.append(revision)
-                if not asked.disk.slow:
-                    self.disk_continues(server, full=False)
-
-    def check_rejected_clients_are_served(self, server):
-        """At the second request at the latest: the first one may be what has the disk written."""
-        rejected, self.servers[server].rejected_revisions = self.servers[server].rejected_revisions, []
-        for revision in rejected:
-            try:
-                self.check_unknown_client_is_served(server, revision)
-            except ConnectionError:
-                self.cluster.run()
-                self.check_unknown_client_is_served(server, revision)
-
-    def check_unknown_client_is_served(self, server, revision):
-        body = self.cluster.call(self.servers[server].response_since, revision)
-        assert body is not None
-        document = orjson.loads(body)
-        assert (document["all"], document["rev"] > revision) == (True, True)
-
-    @rule(server=SERVERS, batch_size=st.integers(1, 2))
-    def flush(self, server, batch_size):
-        self.servers[server].flush(batch_size)
-
-    @rule(seconds=st.sampled_from([0.01, 0.5, 4.0]))
-    def time_passes(self, seconds):
-        self.cluster.run(seconds)
-        for server in self.servers:
-            server.expire(self.cluster.loop.time() * 1000.0)
-
-    @invariant()
-    def no_store_saw_a_fault(self):
-        assert not self.cluster.faults
-
-    @invariant()
-    def no_watch_waits_for_a_change_that_is_there(self):
-        for server in self.servers:
-            for store, watches in server.watches._by_revision.items():
-                assert all(store.responses.since(revision) is None for revision in watches)
-
-    def teardown(self):
-        """Everything works again: each view becomes the truth, within a few rounds, and stays."""
-        if self.servers:
-            self.repair_all()
-            for _ in range(4):
-                for server in self.servers:
-                    server.poll_upstream_and_run()
-                    server.flush()
-                for node in self.nodes:
-                    node.request()
-            truth = {uid: entry["version"] for uid, entry in self.registry.entries.items()}
-            assert [node.view for node in self.nodes] == [truth] * len(self.nodes)
-            revisions = [server.store.revision for server in self.servers]
-            for server in self.servers:
-                server.expire(1e12)
-                server.flush()
-                server.poll_upstream_and_run()
-            assert [server.store.revision for server in self.servers] == revisions
-        self.cluster.close()
-
-    def repair_all(self):
-        for server in self.servers:
-            server.disk.full = server.disk.slow = False
-            server.disk.run_pending()
-            if not server.alive:
-                server.start()
-            server.flush()
+class DiscoveryModel(RegistryRules, DiskRules, ServerRules):
+    """All rules together."""
 
 
 @pytest.mark.parametrize("model_seed", [pytest.param(number, id=f"seed-{number}") for number in SEEDS])
@@ -258,10 +30,10 @@
 def play(model_seed, runs):
     """Play the model with a sample that depends on the seed alone, not on names in the source."""
     run_state_machine_as_test(
-        seed(model_seed)(lambda: DiscoveryModel()),
+        seed(model_seed)(DiscoveryModel),
         settings=settings(
             max_examples=runs,
-            stateful_step_count=STEPS_PER_RUN,
+            stateful_step_count=ACTIONS_PER_RUN,
             deadline=None,
             database=None,
             suppress_health_check=list(HealthCheck),
--- a/tests/discovery_server/test_update_pipeline.py
+++ b/tests/discovery_server/test_update_pipeline.py
@@ -1,4 +1,4 @@
-"""Revisions that a client's own revision calls for: what the disk holds before a client sees them."""
+"""Revisions that rise above a client's: no later process issues them again, and watches are notified."""
 
 from __future__ import annotations
 
@@ -20,11 +20,12 @@
     list_response,
     ready,
 )
-from tests.discovery_server.model import LIST_NAME, MAX_LOG_ENTRIES, ModelCluster, ModelNode, ModelServer
+from tests.discovery_server.model import LIST_NAME, MAX_LOG_ENTRIES, ModelNode, ModelServer
+from tests.discovery_server.model_environment import ModelCluster
 from tests.support.loopback import until
 
 OTHER_TAG = 77
-FAR_TICKS = 30_000  # beyond the lead of the clock
+BEYOND_LEAD_TICKS = 30_000  # 5 min beyond the current revision
 
 
 @pytest.fixture
@@ -62,9 +63,9 @@
     return document["rev"]
 
 
-def serve_client_ahead(server, ticks):
+def serve_client_beyond(server, ticks):
     """Serve a client whose revision is ahead by so many ticks, at its second request at the latest."""
-    client_revision = ahead(server, ticks)
+    client_revision = revision_beyond(server, ticks)
     try:
         revision_served_after(server, client_revision)
     except ConnectionError:
@@ -72,25 +73,25 @@
         revision_served_after(server, client_revision)
 
 
-def ahead(server, ticks):
+def revision_beyond(server, ticks):
     return server.store.revision + (ticks << TAG_BITS) + OTHER_TAG
 
 
 @pytest.mark.parametrize("restart_s", [0.02, 1.0, 1.02, 1.5])
-@pytest.mark.parametrize("ticks", [0, 1, FAR_TICKS])
+@pytest.mark.parametrize("ticks", [0, 1, BEYOND_LEAD_TICKS])
 def test_revision_advanced_for_a_client_is_not_issued_again_after_a_restart(server, ticks, restart_s):
     for _ in range(5):
-        serve_client_ahead(server, ticks)
+        serve_client_beyond(server, ticks)
     restart(server, restart_s)
     change(server, "b")
     for _ in range(2 * REVISION_GAP_TICKS):
-        serve_client_ahead(server, 0)
+        serve_client_beyond(server, 0)
     assert not server.cluster.faults
 
 
-@pytest.mark.parametrize("ticks", [REVISION_GAP_TICKS, FAR_TICKS])
-def test_client_far_ahead_is_served_once_the_disk_holds_a_revision_above_its_own(server, ticks):
-    client_revision = ahead(server, ticks)
+@pytest.mark.parametrize("ticks", [REVISION_GAP_TICKS, BEYOND_LEAD_TICKS])
+def test_client_beyond_the_lead_is_served_once_both_snapshots_state_a_longer_lead(server, ticks):
+    client_revision = revision_beyond(server, ticks)
     before = server.store.revision
     server.disk.slow = True
     for _ in range(3):
@@ -107,9 +108,9 @@
         assert (snapshot.revision, snapshot.lead_ticks >= lead_ticks) == (before, True)
 
 
-def test_clients_far_ahead_before_and_after_a_restart_get_no_common_revision(server):
+def test_clients_beyond_the_lead_before_and_after_a_restart_get_no_common_revision(server):
     """Both hold one revision of another server; the first one's response is not on the disk."""
-    client_revision = ahead(server, FAR_TICKS)
+    client_revision = revision_beyond(server, BEYOND_LEAD_TICKS)
     server.disk.slow = True
     with pytest.raises(ConnectionError):
         revision_served_after(server, client_revision)
@@ -123,8 +124,8 @@
 
 
 @pytest.mark.parametrize("fault", ["full", "slow"])
-def test_client_far_ahead_is_not_served_before_a_failed_disk_works_again(server, fault):
-    client_revision = ahead(server, FAR_TICKS)
+def test_client_beyond_the_lead_is_not_served_before_a_failed_disk_works_again(server, fault):
+    client_revision = revision_beyond(server, BEYOND_LEAD_TICKS)
     setattr(server.disk, fault, True)
     for _ in range(3):
         with pytest.raises(ConnectionError):
@@ -133,14 +134,14 @@
     setattr(server.disk, fault, False)
     server.disk.run_pending()
     server.cluster.run()
-    serve_client_ahead(server, FAR_TICKS)
+    serve_client_beyond(server, BEYOND_LEAD_TICKS)
 
 
 @pytest.mark.parametrize("full", [False, True])
 @pytest.mark.parametrize("damage", ["none", "newest lost"])
-def test_restarts_far_ahead_of_the_clock_issue_no_revision_twice(server, full, damage):
+def test_restarts_beyond_the_lead_issue_no_revision_twice(server, full, damage):
     """Each process issues its first revisions while its disk is full or works, and then loses a file."""
-    serve_client_ahead(server, FAR_TICKS)
+    serve_client_beyond(server, BEYOND_LEAD_TICKS)
     change(server, "a")
     for uid in "bcd":
         restart(server, 1.0)
@@ -156,21 +157,21 @@
     node = ModelNode(cluster, server)
     node.request()
     node.request()
-    held = node.revision
+    revision = node.revision
     assert node.watch is not None
     for _ in range(MAX_LOG_ENTRIES + 1):
-        serve_client_ahead(server, 0)
+        serve_client_beyond(server, 0)
     server.flush()
     assert node.watch is None
-    assert node.revision == server.store.revision > held
+    assert node.revision == server.store.revision > revision
 
 
-async def test_client_far_ahead_is_rejected_with_503_and_served_after_the_write(tmp_path):
+async def test_client_beyond_the_lead_is_rejected_with_503_and_served_after_the_write(tmp_path):
     registry = await Registry(**ready("a")).start()
     async with discovery_server(tmp_path, registry.endpoint) as server:
         await until(lambda: server.ready)
         client = await Client.connect(address_of(server))
-        client_revision = (await client.get_list()).revision + (FAR_TICKS << TAG_BITS) + OTHER_TAG
+        client_revision = (await client.get_list()).revision + (BEYOND_LEAD_TICKS << TAG_BITS) + OTHER_TAG
         client.send_watch(client_revision)
         rejection = await client.read()
         assert (rejection.status, rejection.headers["retry-after"]) == (503, "1.000")
