--- a/tests/discovery_server/test_revisions.py
+++ b/tests/discovery_server/test_revisions.py
@@ -1,4 +1,4 @@
-"""Revisions never go back and never stand for two states, whatever clock, disk and clients do."""
+"""Revisions never go back and never belong to two states, with any clock, disk and clients."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 @pytest.mark.parametrize(
     "clock",
     [
-        [NOW_MS] * 9,
-        [NOW_MS - index * 1e9 for index in range(9)],
-        [0.0] * 9,
-        [EPOCH_MS + 6.5e11] * 9,
+        pytest.param([NOW_MS] * 9, id="stopped"),
+        pytest.param([NOW_MS - index * 1e9 for index in range(9)], id="going back"),
+        pytest.param([0.0] * 9, id="before the epoch"),
+        pytest.param([EPOCH_MS + 6.5e11] * 9, id="20 years later"),
     ],
 )
 def test_revisions_increase_with_any_clock_and_stay_exact_in_a_double(clock):
@@ -47,7 +47,7 @@
 
 
 def test_lost_disk_brings_no_revision_back():
-    """The old process ran ahead of the clock, 50 changes in its last moment, and their snapshots are lost."""
+    """The earlier process issued 50 revisions at one moment, and their snapshots are lost."""
     start_ms, restart_ms = NOW_MS - 1000.0, NOW_MS + 1.0
     old = store_with(entry("a"), now_ms=start_ms)
     lost = [apply(old, False, entry("a", port=10 + index)) for index in range(50)]
@@ -64,7 +64,7 @@
 
 @pytest.mark.parametrize("remaining", ["an older snapshot", "nothing"])
 def test_lost_revision_later_than_the_clock_is_not_issued_again(remaining):
-    """A client had the old process go five minutes ahead; its last changes are not on the disk."""
+    """The earlier process issued revisions five minutes beyond the clock; the last five are lost."""
     old = store_with(entry("a"))
     advance_past(old, old.revision + (30_000 << TAG_BITS))
     snapshot = old.snapshot()
@@ -82,7 +82,7 @@
 
 
 def test_prepared_revision_is_not_issued_for_another_state():
-    """A client of another server comes during the write, and the process dies before the commit."""
+    """A client of another server advances the revision during the write, and the process is killed."""
     store = store_with(entry("a"), now_ms=NOW_MS - 61_300.0)
     change_set = store.prepare([update(False, entry("b"))], NOW_MS)
     snapshot = store.snapshot(change_set)
@@ -108,7 +108,7 @@
 
 
 def test_revision_advanced_for_a_client_is_not_issued_again_after_a_restart_of_one_second():
-    """The advance goes to no disk, and a restart resumes by the same gap: both give the same revision."""
+    """The revision is not stored, and the process is killed."""
     old = store_with(entry("a"))
     snapshot = old.snapshot()
     advance_past(old, old.revision + 77)
--- a/tests/discovery_server/test_snapshot_store.py
+++ b/tests/discovery_server/test_snapshot_store.py
@@ -1,4 +1,4 @@
-"""Snapshots on the disk: damage, failed writes, and files that the previous version wrote."""
+"""Snapshot files: damage, failed writes, and files of the previous version."""
 
 from __future__ import annotations
 
@@ -47,42 +47,71 @@
         snapshot_store.decode(data, "t")
 
 
-@pytest.mark.parametrize("damage", ["cut", "flipped", "empty", "missing", "unreadable"])
-def test_previous_snapshot_is_used_and_preserved_until_a_good_one_is_written(tmp_path, damage):
-    one, two, three, four = snapshots(4)
-    store = SnapshotStore(tmp_path, LIST_NAME)
+@pytest.fixture
+def store(tmp_path):
+    return SnapshotStore(tmp_path, LIST_NAME)
+
+
+def damaged(path, damage):
+    """Damage a file in each way of this kind, one after the other."""
+    data = path.read_bytes()
+    for length in range(len(data)) if damage == "cut" else [0]:
+        path.unlink(missing_ok=True)
+        if damage in ("cut", "empty"):
+            path.write_bytes(data[:length])
+        elif damage == "flipped":
+            path.write_bytes(data[:9] + b"?" + data[10:])
+        elif damage == "unreadable":
+            path.mkdir()
+        yield
+
+
+def loaded(store):
+    """The result of another process that loads the files of this store."""
+    return SnapshotStore(store.newest.parent, LIST_NAME).load()
+
+
+def test_newest_snapshot_is_loaded(store):
+    one, two = snapshots(2)
     assert store.load() == (None, [])
     store.write(one)
     store.write(two)
-    assert SnapshotStore(tmp_path, LIST_NAME).load() == (two, [])
-    newest = tmp_path / "s.snapshot"
-    data = newest.read_bytes()
-    for length in range(len(data)) if damage == "cut" else [0]:
-        newest.unlink(missing_ok=True)
-        if damage == "unreadable":
-            newest.mkdir()
-        elif damage != "missing":
-            flipped = data[:9] + b"?" + data[10:]
-            newest.write_bytes(data[:length] if damage in ("cut", "empty") else flipped)
-        again = SnapshotStore(tmp_path, LIST_NAME)
-        snapshot, errors = again.load()
+    assert loaded(store) == (two, [])
+
+
+@pytest.mark.parametrize("damage", ["cut", "flipped", "empty", "missing", "unreadable"])
+def test_previous_snapshot_is_loaded_if_the_newest_is_damaged(store, damage):
+    one, two = snapshots(2)
+    store.write(one)
+    store.write(two)
+    for _ in damaged(store.newest, damage):
+        snapshot, errors = loaded(store)
         assert (snapshot, len(errors)) == (one, damage != "missing")
+
+
+@pytest.mark.parametrize("damage", ["cut", "flipped", "empty", "missing", "unreadable"])
+def test_previous_snapshot_stays_until_another_valid_one_is_written(store, damage):
+    one, two, three, four = snapshots(4)
+    store.write(one)
+    store.write(two)
+    for _ in damaged(store.newest, damage):
+        again = SnapshotStore(store.newest.parent, LIST_NAME)
+        again.load()
     if damage == "unreadable":
-        newest.rmdir()
+        store.newest.rmdir()
     again.write(three)
-    newest_data = newest.read_bytes()
-    newest.write_bytes(newest_data[:-1])
-    assert SnapshotStore(tmp_path, LIST_NAME).load()[0] == one, "a damaged file replaced the good one"
-    newest.write_bytes(newest_data)
+    newest_data = store.newest.read_bytes()
+    store.newest.write_bytes(newest_data[:-1])
+    assert loaded(store).snapshot == one, "a damaged file replaced the valid one"
+    store.newest.write_bytes(newest_data)
     again.write(four)
-    assert SnapshotStore(tmp_path, LIST_NAME).load() == (four, [])
-    newest.unlink()
-    assert SnapshotStore(tmp_path, LIST_NAME).load() == (three, [])
+    assert loaded(store) == (four, [])
+    store.newest.unlink()
+    assert loaded(store) == (three, [])
 
 
-def test_failed_write_does_not_change_the_files(tmp_path, monkeypatch):
+def test_failed_write_does_not_change_the_files(store, monkeypatch):
     one, two = snapshots(2)
-    store = SnapshotStore(tmp_path, LIST_NAME)
     store.write(one)
 
     def full(_):
@@ -92,7 +121,7 @@
     with pytest.raises(OSError, match="No space"):
         store.write(two)
     monkeypatch.undo()
-    assert SnapshotStore(tmp_path, LIST_NAME).load() == (one, [])
+    assert loaded(store) == (one, [])
 
 
 def test_stored_fields_keep_their_names():
--- a/tests/discovery_server/test_watch_registry.py
+++ b/tests/discovery_server/test_watch_registry.py
@@ -1,9 +1,11 @@
-"""Waiting watches: one encoding for all, batches, deadlines, the limit, clients that disconnect."""
+"""Waiting watches: shared encodings, batches, deadlines, the limit and disconnected clients."""
 
 from __future__ import annotations
 
 from random import Random
 
+import pytest
+
 from loadbalancer.discovery_server.watch_registry import DEADLINE_TICK_MS, Watch, WatchRegistry
 from tests.discovery_server.builders import apply, decoded, entry, store_with
 
@@ -11,7 +13,7 @@
 
 
 class WatchClients:
-    """Adds watches at a store's current revision, and collects the bodies of their responses."""
+    """Adds watches at the store's current revision, and collects the bodies of their responses."""
 
     def __init__(self, store, registry):
         self.store, self.registry = store, registry
@@ -84,21 +86,33 @@
     assert (completed, registry.count) == (300, 0)
 
 
-def test_watches_are_limited_and_each_end_frees_a_place():
+def disconnect_all(registry, watches):
+    for watch in watches:
+        registry.cancel(watch)
+
+
+@pytest.mark.parametrize(
+    ("end", "responses"),
+    [
+        pytest.param(
+            lambda registry, watches: change(watches[0].store, registry, str(watches[0].revision)),
+            2,
+            id="change",
+        ),
+        pytest.param(lambda registry, _: registry.expire(2000.0), 2, id="deadline"),
+        pytest.param(disconnect_all, 0, id="disconnect"),
+        pytest.param(lambda registry, _: registry.complete_all(), 2, id="shutdown"),
+    ],
+)
+def test_watches_are_limited_and_each_end_frees_a_place(end, responses):
     store, registry, clients = watched(entry("a"), limit=2)
-    for end in ("change", "deadline", "disconnect", "shutdown"):
+    for _ in range(2):
+        clients.bodies.clear()
         watches = [clients.add() for _ in range(2)]
         assert not registry.add(Watch(store, store.revision, clients.bodies.append), 9.0)
-        if end == "change":
-            change(store, registry, end)
-        elif end == "deadline":
-            registry.expire(2000.0)
-        elif end == "shutdown":
-            registry.complete_all()
-        for watch in watches if end == "disconnect" else ():
-            registry.cancel(watch)
+        end(registry, watches)
         registry.flush(9)
-    assert (registry.count, len(clients.bodies), registry.outbox_size) == (0, 6, 0)
+        assert (registry.count, len(clients.bodies), registry.outbox_size) == (0, responses, 0)
 
 
 def test_client_that_disconnects_before_the_flush_gets_no_response():
