--- a/tests/discovery/test_watch_client.py
+++ b/tests/discovery/test_watch_client.py
@@ -9,7 +9,8 @@
 from loadbalancer.discovery.watch_client import WatchClient, WatchOptions
 from loadbalancer.events import UpdateKind
 from loadbalancer.http.addresses import parse_address
-from tests.support.loopback import ScriptedDiscovery, endpoint_list_response, until
+from tests.support.loopback import ScriptedDiscovery, until
+from tests.support.messages import endpoint_list_response
 
 ENDPOINT = ("127.0.0.1:9", "Ready")
 COMPLETE = endpoint_list_response(5, True, a=ENDPOINT)
--- a/tests/discovery/test_watch_timing.py
+++ b/tests/discovery/test_watch_timing.py
@@ -17,8 +17,8 @@
 from loadbalancer.proxy import statistics
 from loadbalancer.proxy.proxy import Proxy
 from tests.support.builders import PolicyHarness, types
-from tests.support.loopback import config
 from tests.support.model_time import FAULTS, DiscoveryModel, run_in_model_time
+from tests.support.proxy_config import config
 
 NOTIFICATION_LIMIT_S = 5.0  # 6 s are required; a proxy on a small share of a core needs the rest
 MODES = pytest.mark.parametrize("mode", ["push", "ask"])
--- a/tests/discovery_server/cluster.py
+++ b/tests/discovery_server/cluster.py
@@ -15,16 +15,8 @@
 from loadbalancer.discovery_server.config import Config, ListConfig, ListLimits, ProcessLimits
 from loadbalancer.discovery_server.server import DiscoveryServer
 from loadbalancer.http.addresses import Address
-from tests.support.loopback import (
-    LoopbackServer,
-    Message,
-    Script,
-    close_writer,
-    read_message,
-    reply,
-    targets,
-    until,
-)
+from tests.support.loopback import LoopbackServer, Script, close_writer, until
+from tests.support.messages import Message, read_message, reply, targets
 
 LIST_NAME = "s"
 HOSTS = "/discovery/hosts"
--- a/tests/discovery_server/test_server.py
+++ b/tests/discovery_server/test_server.py
@@ -19,7 +19,9 @@
     get_list,
     list_reply,
 )
-from tests.support.loopback import LoopbackServer, config, reply, until
+from tests.support.loopback import LoopbackServer, until
+from tests.support.messages import reply
+from tests.support.proxy_config import config
 
 UNUSABLE_RESPONSES = (
     reply(200, b"{"),
--- a/tests/http/test_client_connection.py
+++ b/tests/http/test_client_connection.py
@@ -10,7 +10,8 @@
 
 from loadbalancer.events import AttemptResult
 from loadbalancer.http.addresses import Address
-from tests.support.loopback import LoopbackServer, read_message, reply
+from tests.support.loopback import LoopbackServer
+from tests.support.messages import read_message, reply
 from tests.support.proxy import attempt_result, make_pool
 
 POST = b"POST /post/1 HTTP/1.1\r\nReq-Id: q\r\nContent-Length: 0\r\n\r\n"
--- a/tests/http/test_listener.py
+++ b/tests/http/test_listener.py
@@ -8,7 +8,8 @@
 from loadbalancer.http import request_timeouts
 from loadbalancer.http.listener import HttpListener
 from loadbalancer.http.request import HttpRequest
-from tests.support.loopback import HttpClient, request, running_proxy, send_request, until
+from tests.support.loopback import HttpClient, running_proxy, send_request, until
+from tests.support.messages import request
 
 LOOPBACK = "127.0.0.1"
 
--- a/tests/http/test_request_validation.py
+++ b/tests/http/test_request_validation.py
@@ -10,14 +10,9 @@
 from loadbalancer.events import ClientDisconnected, IncomingRequest
 from loadbalancer.http.request_parser import SINGLE_VALUE_HEADERS
 from loadbalancer.proxy.request_forwarding import FORWARDED_HEADERS
-from tests.support.loopback import (
-    ScriptedPolicy,
-    StalledBackend,
-    request,
-    running_proxy,
-    send_request,
-    until,
-)
+from tests.support.loopback import StalledBackend, running_proxy, send_request, until
+from tests.support.messages import request
+from tests.support.scripted_policy import ScriptedPolicy
 
 
 def post_with_head(head: str) -> bytes:
--- a/tests/http/test_server_connection.py
+++ b/tests/http/test_server_connection.py
@@ -8,7 +8,8 @@
 import pytest
 
 from loadbalancer.http.request_parser import MAX_PIPELINED_REQUESTS
-from tests.support.loopback import HttpClient, StalledBackend, request, until
+from tests.support.loopback import HttpClient, StalledBackend, until
+from tests.support.messages import request
 
 
 @pytest.fixture
--- a/tests/proxy/test_config.py
+++ b/tests/proxy/test_config.py
@@ -7,7 +7,7 @@
 
 from loadbalancer.proxy.config import parse_config
 from loadbalancer.settings import ConfigurationError
-from tests.support.loopback import config, config_document
+from tests.support.proxy_config import config, config_document
 
 
 def test_seed_is_hexadecimal():
--- a/tests/proxy/test_connection_pool.py
+++ b/tests/proxy/test_connection_pool.py
@@ -7,7 +7,8 @@
 import pytest
 
 from loadbalancer.events import AttemptResult
-from tests.support.loopback import LoopbackServer, StalledBackend, reply, until
+from tests.support.loopback import LoopbackServer, StalledBackend, until
+from tests.support.messages import reply
 from tests.support.proxy import answering, attempt_result, open_pool, start_attempt, unaccepting_listener
 
 
--- a/tests/proxy/test_endpoint_updates.py
+++ b/tests/proxy/test_endpoint_updates.py
@@ -18,18 +18,15 @@
     HttpClient,
     LoopbackServer,
     ScriptedDiscovery,
-    ScriptedPolicy,
-    config,
-    endpoint_list_response,
-    reply,
-    request,
     running_proxy,
     send_request,
-    targets,
     until,
 )
+from tests.support.messages import endpoint_list_response, reply, request, targets
 from tests.support.program import READINESS_REQUEST
 from tests.support.proxy import GatedConnects, policy_sending_to
+from tests.support.proxy_config import config
+from tests.support.scripted_policy import ScriptedPolicy
 
 READY = ("127.0.0.1:9", "Ready")
 DRAINING = ("127.0.0.1:9", "Terminating")
--- a/tests/proxy/test_policy_events.py
+++ b/tests/proxy/test_policy_events.py
@@ -10,17 +10,10 @@
 from loadbalancer.events import AttemptOutcome, ClientDisconnected, IncomingRequest, TimerFired
 from loadbalancer.policy.policy import PERIOD_TIMER
 from loadbalancer.proxy import policy_runner
-from tests.support.loopback import (
-    LoopbackServer,
-    ScriptedPolicy,
-    StalledBackend,
-    reply,
-    request,
-    running_proxy,
-    send_request,
-    until,
-)
+from tests.support.loopback import LoopbackServer, StalledBackend, running_proxy, send_request, until
+from tests.support.messages import reply, request
 from tests.support.proxy import answering, run_on_skipping_loop
+from tests.support.scripted_policy import ScriptedPolicy
 
 
 @pytest.fixture
--- a/tests/proxy/test_upstream_attempt.py
+++ b/tests/proxy/test_upstream_attempt.py
@@ -9,7 +9,8 @@
 import pytest
 
 from loadbalancer.events import AttemptResult
-from tests.support.loopback import reply, until
+from tests.support.loopback import until
+from tests.support.messages import reply
 from tests.support.proxy import (
     REQUEST_BYTES,
     ManualServer,
--- a/tests/simulator/test_load_reports.py
+++ b/tests/simulator/test_load_reports.py
@@ -8,7 +8,8 @@
 
 from loadbalancer.events import LoadReport
 from loadbalancer.platform_settings import parse_load_report
-from tests.support.loopback import LoopbackServer, reply, request, running_proxy, send_request
+from tests.support.loopback import LoopbackServer, running_proxy, send_request
+from tests.support.messages import reply, request
 
 MALFORMED_REPORTS = """{"
 %%%
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -10,32 +10,8 @@
 from weakref import WeakKeyDictionary
 
 from loadbalancer.proxy.proxy import Proxy
-from tests.support.messages import Message, endpoint_list_response, read_message, reply, request, targets
-from tests.support.proxy_config import config, config_document
-from tests.support.scripted_policy import ScriptedPolicy
-
-# Names of the sibling modules that tests import from here.
-__all__ = [
-    "HttpClient",
-    "LoopbackServer",
-    "Message",
-    "Script",
-    "ScriptedDiscovery",
-    "ScriptedPolicy",
-    "StalledBackend",
-    "always",
-    "close_writer",
-    "config",
-    "config_document",
-    "endpoint_list_response",
-    "read_message",
-    "reply",
-    "request",
-    "running_proxy",
-    "send_request",
-    "targets",
-    "until",
-]
+from tests.support.messages import Message, read_message, reply, targets
+from tests.support.proxy_config import config
 
 WAIT_LIMIT_S = 20.0  # below the time-out of a test, so that the failure shows which condition stayed false
 POLL_INTERVAL_S = 0.005
--- a/tests/support/proxy.py
+++ b/tests/support/proxy.py
@@ -15,7 +15,8 @@
 from loadbalancer.proxy.connection_pool import ConnectionPool
 from loadbalancer.proxy.proxy import Proxy
 from loadbalancer.proxy.upstream_attempt import UpstreamAttempt
-from tests.support.loopback import LoopbackServer, Message, until
+from tests.support.loopback import LoopbackServer, until
+from tests.support.messages import Message
 
 OnResult = Callable[[AttemptResult, HttpResponse | None], object]
 
