--- a/tests/discovery/test_watch_timing.py
+++ b/tests/discovery/test_watch_timing.py
@@ -11,13 +11,13 @@
 
 import pytest
 
-from loadbalancer.actions import Action, StartWatch
+from loadbalancer.actions import Action, StartTimer, StartWatch
 from loadbalancer.events import Event, MembershipUpdate, TimerFired, UpdateKind
 from loadbalancer.policy.policy import LoadBalancingPolicy
 from loadbalancer.proxy import statistics
 from loadbalancer.proxy.proxy import Proxy
 from tests.support.builders import PolicyHarness, types
-from tests.support.model_time import FAULTS, DiscoveryModel, run_in_model_time
+from tests.support.model_time import FAULTS, DiscoveryModel, model_loop, run_in_model_time
 from tests.support.proxy_config import config
 
 NOTIFICATION_LIMIT_S = 5.0  # 6 s are required; a proxy on a small share of a core needs the rest
@@ -34,15 +34,15 @@
 
 
 def make_proxy(mode: str, fault: str, rng: Random) -> tuple[Proxy, DiscoveryModel]:
-    loop = asyncio.get_running_loop()
-    loop.discovery = DiscoveryModel(fault, rng)
+    model_loop().discovery = discovery = DiscoveryModel(fault, rng)
     proxy = Proxy(config("127.0.0.1:1", settings={"registryMode": mode}, seed=f"{rng.getrandbits(64):x}"))
-    return proxy, loop.discovery
+    return proxy, discovery
 
 
 async def notification_delay(mode: str, fault: str, outage: Outage, rng: Random) -> float:
     """Seconds from the return of discovery until the proxy has the change."""
     proxy, discovery = make_proxy(mode, fault, rng)
+    proxy.policy = policy = ObservedPolicy(proxy, "s3")
     at_start = outage.place == "first request"
     discovery.up = not at_start
     await proxy.start()
@@ -57,7 +57,7 @@
     await asyncio.sleep(outage.return_delay_s)
     discovery.up, discovery.revision = True, 3
     returned_at = proxy.loop.time()
-    await notification_of(proxy, "s3")
+    await policy.notified.wait()
     proxy.close()
     return proxy.loop.time() - returned_at
 
@@ -70,31 +70,21 @@
     await discovery.wait_for_attempts(1)
 
 
-class ObservedPolicy:
-    """A policy that sets an event once it has an endpoint of this name."""
+class ObservedPolicy(LoadBalancingPolicy):
+    """A proxy's policy that sets an event once it has an endpoint of this name."""
 
-    def __init__(self, policy: LoadBalancingPolicy, endpoint: str) -> None:
+    def __init__(self, proxy: Proxy, endpoint: str) -> None:
+        super().__init__(proxy.settings, proxy.config.seed, proxy.clock.now_ms())
         self.notified = asyncio.Event()
-        self._policy = policy
         self._endpoint = endpoint
 
-    @property
-    def cursor(self) -> int:
-        return self._policy.cursor
-
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        actions = self._policy.handle(now_ms, event)
-        if self._endpoint in self._policy.endpoints.by_name:
+        actions = super().handle(now_ms, event)
+        if self._endpoint in self.endpoints.by_name:
             self.notified.set()
         return actions
 
 
-async def notification_of(proxy: Proxy, endpoint: str) -> None:
-    """Wait for the update with which the policy gets this endpoint."""
-    proxy.policy = observed = ObservedPolicy(proxy.policy, endpoint)
-    await observed.notified.wait()
-
-
 def longest_notification_delay(mode: str, fault: str) -> tuple[float, Outage]:
     rng = Random(f"{mode} {fault}")
     delays = {}
@@ -142,9 +132,11 @@
     harness = PolicyHarness(endpoint_count=2, polls_discovery=True)
     for _ in range(2000):
         (timer,) = harness.handle(MembershipUpdate(UpdateKind.UNAVAILABLE))
-        harness.advance(timer.delay_ms)
+        assert isinstance(timer, StartTimer)
+        delay_ms = timer.delay_ms
+        harness.advance(delay_ms)
         assert types(harness.handle(TimerFired("watch"))) == [StartWatch]
-    assert 2000.0 <= timer.delay_ms <= 4000.0
+    assert 2000.0 <= delay_ms <= 4000.0
 
 
 async def respond_to_a_late_event_loop(mode: str) -> Proxy:
@@ -156,7 +148,7 @@
     ((transport, end_of_wait),) = discovery.waiting.items()
     end_of_wait.cancel()
     transport.write(discovery.list_response(complete=True))
-    proxy.loop.skip(60.0)
+    model_loop().skip(60.0)
     await discovery.wait_for_attempts(1)
     proxy.close()
     return proxy
--- a/tests/http/test_client_connection.py
+++ b/tests/http/test_client_connection.py
@@ -9,7 +9,6 @@
 import pytest
 
 from loadbalancer.events import AttemptResult
-from loadbalancer.http.addresses import Address
 from tests.support.loopback import LoopbackServer
 from tests.support.messages import read_message, reply
 from tests.support.proxy import attempt_result, make_pool
@@ -38,7 +37,7 @@
     """One attempt's result and the number of connections pooled after it."""
     async with EndlessBackend(response, more) as server:
         with contextlib.closing(make_pool()) as pool:
-            pool.add("s", Address("127.0.0.1", server.port))
+            pool.add("s", server.address)
             result = await attempt_result(pool, data=POST)
             await asyncio.sleep(0)
             return result, pool.size
--- a/tests/http/test_request_validation.py
+++ b/tests/http/test_request_validation.py
@@ -12,7 +12,7 @@
 from loadbalancer.proxy.request_forwarding import FORWARDED_HEADERS
 from tests.support.loopback import StalledBackend, running_proxy, send_request, until
 from tests.support.messages import request
-from tests.support.scripted_policy import ScriptedPolicy
+from tests.support.scripted_policy import acting_on, script_policy
 
 
 def post_with_head(head: str) -> bytes:
@@ -70,9 +70,7 @@
 async def test_request_id_in_use_gets_400_and_does_not_affect_its_request():
     server = StalledBackend()
     async with running_proxy(server) as proxy:
-        proxy.policy = scripted = ScriptedPolicy(
-            lambda event: [Send(event.request_id, "s0")] if isinstance(event, IncomingRequest) else []
-        )
+        scripted = script_policy(proxy, acting_on(lambda event: [Send(event.request_id, "s0")]))
         first = asyncio.create_task(send_request(proxy, request("post", "q1")))
         await until(lambda: server.seen)
         assert (await send_request(proxy, request("post", "q1"))).status == 400
--- a/tests/proxy/test_attempt_races.py
+++ b/tests/proxy/test_attempt_races.py
@@ -9,7 +9,7 @@
 import pytest
 
 from loadbalancer.events import AttemptOutcome, AttemptResult, ClientDisconnected
-from loadbalancer.http.addresses import Address
+from loadbalancer.http.addresses import Address, socket_address
 from loadbalancer.http.client_connection import ClientConnection
 from loadbalancer.http.server_connection import ServerConnection
 from loadbalancer.proxy.proxy import Proxy
@@ -181,7 +181,7 @@
 async def test_cancelled_attempt_has_ended_before_the_next_one_is_sent():
     """In the same turn of the loop, in which asyncio has not closed the first one's socket yet."""
     with socket.create_server(("127.0.0.1", 0)) as server, contextlib.closing(make_pool()) as pool:
-        pool.add("s", Address(*server.getsockname()))
+        pool.add("s", socket_address(server))
         attempt = start_attempt(pool, "s", lambda *_: None, request(), 60.0)
         await until(lambda: attempt.sent)
         accepted, _ = server.accept()
--- a/tests/proxy/test_connection_pool.py
+++ b/tests/proxy/test_connection_pool.py
@@ -7,6 +7,7 @@
 import pytest
 
 from loadbalancer.events import AttemptResult
+from loadbalancer.http.addresses import socket_address
 from tests.support.loopback import LoopbackServer, StalledBackend, until
 from tests.support.messages import reply
 from tests.support.proxy import answering, attempt_result, open_pool, start_attempt, unaccepting_listener
@@ -40,14 +41,14 @@
 )
 async def test_connection_that_closes_or_has_extra_bytes_is_not_reused(response, pool):
     async with answering(response) as server:
-        pool.add("s", ("127.0.0.1", server.port))
+        pool.add("s", server.address)
         assert [await attempt_result(pool) for _ in range(2)] == [AttemptResult.OK, AttemptResult.OK]
         assert server.connections == 2
 
 
 async def test_last_idle_connection_is_reused_first_and_an_expired_one_never(monkeypatch, pool, backend):
     monkeypatch.setattr("loadbalancer.proxy.connection_pool.REUSE_DELAY_S", 0.0)
-    pool.add("s", ("127.0.0.1", backend.port))
+    pool.add("s", backend.address)
     await asyncio.gather(attempt_result(pool), attempt_result(pool))
     assert backend.connections == 2
     endpoint = pool.get("s")
@@ -71,7 +72,7 @@
     reuse_delay_s, connections, monkeypatch, pool, backend
 ):
     monkeypatch.setattr("loadbalancer.proxy.connection_pool.REUSE_DELAY_S", reuse_delay_s)
-    pool.add("s", ("127.0.0.1", backend.port))
+    pool.add("s", backend.address)
     assert await attempt_result(pool) is AttemptResult.OK
     assert await attempt_result(pool) is AttemptResult.OK
     assert backend.connections == connections
@@ -80,14 +81,14 @@
 
 async def test_idle_connections_are_closed_in_time(backend):
     async with open_pool(endpoint_idle_timeout_s=0.1) as pool:
-        pool.add("s", ("127.0.0.1", backend.port))
+        pool.add("s", backend.address)
         await attempt_result(pool)
         await until(lambda: not pool.size)
 
 
 async def test_drain_withdraws_connecting_attempts_and_closes_idle_connections(pool):
     with unaccepting_listener() as listener:
-        pool.add("s", listener.getsockname())
+        pool.add("s", socket_address(listener))
         outcome = asyncio.create_task(attempt_result(pool))
         await until(lambda: pool.size)
         pool.remove("s")
@@ -97,7 +98,7 @@
 
 
 async def test_attempt_in_flight_as_its_endpoint_drains_still_gets_its_response(pool, stalled_backend):
-    pool.add("s", ("127.0.0.1", stalled_backend.port))
+    pool.add("s", stalled_backend.address)
     outcome = asyncio.create_task(attempt_result(pool))
     await until(lambda: stalled_backend.seen)
     pool.remove("s")
@@ -110,12 +111,14 @@
 async def test_pool_keeps_to_its_limit_by_closing_idle_connections_first(backend, stalled_backend):
     results: list[AttemptResult] = []
     async with open_pool(limit=2) as pool:
-        pool.add("idle", ("127.0.0.1", backend.port))
+        pool.add("idle", backend.address)
         assert await attempt_result(pool, "idle") is AttemptResult.OK
-        pool.add("busy", ("127.0.0.1", stalled_backend.port))
+        idle = pool.get("idle")
+        assert idle is not None
+        pool.add("busy", stalled_backend.address)
         for _ in range(3):
             start_attempt(pool, "busy", lambda result, _: results.append(result))
-        assert pool.get("idle").idle == []
+        assert idle.idle == []
         await until(lambda: results)
         assert results == [AttemptResult.CONNECT_FAILED]  # the third: all connections are busy
         stalled_backend.release.set()
--- a/tests/proxy/test_endpoint_updates.py
+++ b/tests/proxy/test_endpoint_updates.py
@@ -13,6 +13,7 @@
     MembershipUpdate,
     UpdateKind,
 )
+from loadbalancer.http.addresses import Address
 from loadbalancer.proxy.proxy import Proxy
 from tests.support.loopback import (
     HttpClient,
@@ -26,7 +27,7 @@
 from tests.support.program import READINESS_REQUEST
 from tests.support.proxy import GatedConnects, policy_sending_to
 from tests.support.proxy_config import config
-from tests.support.scripted_policy import ScriptedPolicy
+from tests.support.scripted_policy import script_policy
 
 READY = ("127.0.0.1:9", "Ready")
 DRAINING = ("127.0.0.1:9", "Terminating")
@@ -44,7 +45,7 @@
     )
     async with running_proxy(LoopbackServer(), discovery=discovery) as proxy:
         # The policy's first action, on the known list, has started the watch.
-        proxy.policy = scripted = ScriptedPolicy()
+        scripted = script_policy(proxy)
         await until(lambda: len(scripted.events_of(MembershipUpdate)) == 3)
         assert update_kinds(scripted) == [UpdateKind.COMPLETE, UpdateKind.DELTA, UpdateKind.UNAVAILABLE]
         assert set(proxy.pool._endpoints) == {"s2"}
@@ -55,11 +56,12 @@
 
 async def test_known_endpoints_come_first_and_as_cached():
     proxy = Proxy(config("127.0.0.1:1", known=targets(s0=READY)))
-    proxy.policy = scripted = ScriptedPolicy()
+    scripted = script_policy(proxy)
     await proxy.start()
     proxy.close()
     assert update_kinds(scripted) == [UpdateKind.CACHED]
-    assert scripted.events[0].endpoints[0].started_ms is None  # 0 means long ago
+    (update,) = scripted.events_of(MembershipUpdate)
+    assert update.endpoints[0].started_ms is None  # 0 means long ago
 
 
 @pytest.mark.parametrize(
@@ -84,7 +86,7 @@
 )
 async def test_bad_discovery_response_is_unavailable_and_keeps_the_list(response):
     async with running_proxy(LoopbackServer(), discovery=ScriptedDiscovery(response)) as proxy:
-        proxy.policy = scripted = ScriptedPolicy()
+        scripted = script_policy(proxy)
         await until(lambda: scripted.events_of(MembershipUpdate))
         assert update_kinds(scripted) == [UpdateKind.UNAVAILABLE]
         assert (set(proxy.pool._endpoints), proxy.listener.ready) == ({"s0"}, True)
@@ -112,13 +114,13 @@
 
 async def test_drain_withdraws_connecting_attempts_for_a_retry():
     async with running_proxy(server := LoopbackServer()) as proxy:
-        proxy.policy = scripted = ScriptedPolicy(policy_sending_to("s0", "s0"))
+        scripted = script_policy(proxy, policy_sending_to("s0", "s0"))
         GatedConnects(proxy)  # whose gate stays closed: no connection is established
         client = await HttpClient.to(proxy)
         client.writer.write(request())
         await until(lambda: proxy.pool.size)
         draining = (Endpoint("s0", state=EndpointState.DRAINING),)
-        proxy.membership.apply(UpdateKind.DELTA, EndpointList(9, False, draining, {"s0": ("", 1)}))
+        proxy.membership.apply(UpdateKind.DELTA, EndpointList(9, False, draining, {"s0": Address("", 1)}))
         results = [event.result for event in scripted.events_of(AttemptOutcome)]
         assert results == [AttemptResult.CONNECT_FAILED] * 2
         assert (await client.read_response()).status == 502
--- a/tests/proxy/test_forwarding.py
+++ b/tests/proxy/test_forwarding.py
@@ -9,7 +9,6 @@
 from loadbalancer.actions import Fail, Reject, Send
 from loadbalancer.discovery.endpoint_list import EndpointList
 from loadbalancer.events import AttemptOutcome, AttemptResult, ClientDisconnected, Endpoint, UpdateKind
-from loadbalancer.http.addresses import Address
 from tests.support.loopback import (
     HttpClient,
     LoopbackServer,
@@ -155,7 +154,7 @@
     server = LoopbackServer()
     async with running_proxy(server) as proxy:
         assert (await send_request(proxy, request(name="q1"))).status == 200
-        endpoints = {"s0": Address("127.0.0.1", server.port)}
+        endpoints = {"s0": server.address}
         for started_ms in (5.0, 5.0):
             endpoint_list = EndpointList(9, False, (Endpoint("s0", started_ms=started_ms),), endpoints)
             proxy.membership.apply(UpdateKind.DELTA, endpoint_list)
--- a/tests/proxy/test_policy_events.py
+++ b/tests/proxy/test_policy_events.py
@@ -13,7 +13,7 @@
 from tests.support.loopback import LoopbackServer, StalledBackend, running_proxy, send_request, until
 from tests.support.messages import reply, request
 from tests.support.proxy import answering, run_on_skipping_loop
-from tests.support.scripted_policy import ScriptedPolicy
+from tests.support.scripted_policy import script_policy
 
 
 @pytest.fixture
@@ -30,7 +30,7 @@
         return [Send(event.request_id, "s0")] if isinstance(event, IncomingRequest) else []
 
     async with running_proxy(answering(reply(500))) as proxy:
-        proxy.policy = scripted = ScriptedPolicy(act)
+        scripted = script_policy(proxy, act)
         assert (await send_request(proxy, request())).status == 500
         assert scripted.events_of(ClientDisconnected)
         assert not proxy.requests.by_id
@@ -45,13 +45,13 @@
             raise RuntimeError("broken")
         return []
 
-    proxy.policy = scripted = ScriptedPolicy(act)
+    scripted = script_policy(proxy, act)
     proxy.policy_runner.execute(StartTimer(1.0, "tick"))
     await until(lambda: [event.name for event in scripted.events_of(TimerFired)].count("tick") == 2)
 
 
 async def test_request_without_an_action_of_the_policy_fails_at_its_deadline(proxy):
-    proxy.policy = scripted = ScriptedPolicy()
+    scripted = script_policy(proxy)
     assert (await send_request(proxy, request(Req_Deadline_Ms="200"))).status == 504
     assert [event.request_id for event in scripted.events_of(ClientDisconnected)] == ["q1"]
 
--- a/tests/proxy/test_upstream_attempt.py
+++ b/tests/proxy/test_upstream_attempt.py
@@ -9,6 +9,7 @@
 import pytest
 
 from loadbalancer.events import AttemptResult
+from loadbalancer.http.addresses import socket_address
 from tests.support.loopback import until
 from tests.support.messages import reply
 from tests.support.proxy import (
@@ -52,14 +53,14 @@
 )
 async def test_response_gives_the_result_of_the_protocol(response, expected, pool):
     async with answering(response) as server:
-        pool.add("s", ("127.0.0.1", server.port))
+        pool.add("s", server.address)
         assert await attempt_result(pool) is expected
         assert len(server.seen) == 1  # no request is ever sent a second time by itself
 
 
 async def test_truncated_response_is_a_reset(pool):
     async with ManualServer() as server:
-        pool.add("s", ("127.0.0.1", server.port))
+        pool.add("s", server.address)
         result = asyncio.create_task(attempt_result(pool))
         await until(lambda: server.links)
         ((reader, writer),) = server.links
@@ -71,7 +72,7 @@
 
 async def test_refused_connection_is_connect_failed(pool):
     with socket.create_server(("127.0.0.1", 0)) as closed:
-        address = closed.getsockname()
+        address = socket_address(closed)
     pool.add("s", address)
     assert await attempt_result(pool) is AttemptResult.CONNECT_FAILED
     await until(lambda: not pool.size)
@@ -81,7 +82,7 @@
     with socket.create_server(("127.0.0.1", 0)) as listener:
         listener.setblocking(False)
         async with open_pool() as pool:
-            pool.add("s", listener.getsockname())
+            pool.add("s", socket_address(listener))
             result = asyncio.create_task(attempt_result(pool, timeout_s=60.0))
             accepted, _ = await loop.sock_accept(listener)
             with accepted:
@@ -97,7 +98,7 @@
 
 
 async def test_reset_before_the_last_byte_is_written_is_connect_failed(pool, listener):
-    pool.add("s", listener.getsockname())
+    pool.add("s", socket_address(listener))
     result = asyncio.create_task(attempt_result(pool, data=b"x" * 30_000_000))
     loop = asyncio.get_running_loop()
     listener.setblocking(False)
@@ -119,5 +120,5 @@
 async def test_connection_never_established_is_connect_failed(connect_timeout_s, timeout_s):
     with unaccepting_listener() as listener:
         async with open_pool(connect_timeout_s=connect_timeout_s) as pool:
-            pool.add("s", listener.getsockname())
+            pool.add("s", socket_address(listener))
             assert await attempt_result(pool, timeout_s=timeout_s) is AttemptResult.CONNECT_FAILED
--- a/tests/proxy/test_watch_races.py
+++ b/tests/proxy/test_watch_races.py
@@ -21,7 +21,7 @@
 from loadbalancer.proxy.proxy import Proxy
 from tests.support.loopback import running_proxy, until
 from tests.support.messages import endpoint_list_response, reply
-from tests.support.model_time import ModelLoop, in_model_time
+from tests.support.model_time import in_model_time, model_loop
 from tests.support.proxy_config import config
 
 PUSH = {"registryMode": "push"}
@@ -71,9 +71,7 @@
 @contextlib.asynccontextmanager
 async def following_watch(settings: dict[str, Any] = PUSH) -> AsyncIterator[tuple[Proxy, ManualDiscovery]]:
     """A proxy that follows this discovery."""
-    loop = asyncio.get_running_loop()
-    assert isinstance(loop, ModelLoop)
-    loop.discovery = discovery = ManualDiscovery()
+    model_loop().discovery = discovery = ManualDiscovery()
     async with running_proxy(settings=settings) as proxy:
         yield proxy, discovery
 
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -9,6 +9,7 @@
 from typing import Any, Self
 from weakref import WeakKeyDictionary
 
+from loadbalancer.http.addresses import Address
 from loadbalancer.proxy.proxy import Proxy
 from tests.support.messages import Message, read_message, reply, targets
 from tests.support.proxy_config import config
@@ -65,6 +66,11 @@
     async def __aexit__(self, *_error: object) -> None:
         await self.aclose()
 
+    @property
+    def address(self) -> Address:
+        """Where it listens."""
+        return Address("127.0.0.1", self.port)
+
     @property
     def endpoint(self) -> str:
         """The address as endpoint lists have it."""
--- a/tests/support/model_time.py
+++ b/tests/support/model_time.py
@@ -85,6 +85,13 @@
         return await super().create_connection(protocol_factory, sock=client_socket)
 
 
+def model_loop() -> ModelLoop:
+    """The running event loop, which has to be a model loop."""
+    loop = asyncio.get_running_loop()
+    assert isinstance(loop, ModelLoop)
+    return loop
+
+
 def run_in_model_time(main: Coroutine[Any, Any, _Result]) -> _Result:
     """Run a coroutine on a new model loop."""
     with asyncio.Runner(loop_factory=ModelLoop) as runner:
