--- a/tests/proxy/test_attempt_races.py
+++ b/tests/proxy/test_attempt_races.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from loadbalancer.events import AttemptOutcome, AttemptResult, ClientDisconnected
+from loadbalancer.events import AttemptResult, ClientDisconnected
 from loadbalancer.http.addresses import Address, socket_address
 from loadbalancer.http.client_connection import ClientConnection
 from loadbalancer.http.server_connection import ServerConnection
@@ -100,8 +100,7 @@
         await until(lambda: scripted.events_of(ClientDisconnected))
         gated.gate.set()
         await until(lambda: not proxy.pool._connecting)
-        results = [event.result for event in scripted.events_of(AttemptOutcome)]
-        assert results == [AttemptResult.REJECTED, AttemptResult.NOT_SENT]
+        assert scripted.attempt_results == [AttemptResult.REJECTED, AttemptResult.NOT_SENT]
         assert other.seen == []
         assert not proxy.requests.by_id
 
@@ -153,7 +152,7 @@
         assert not attempt.sent
         client.writer.close()
         await until(lambda: scripted.events_of(ClientDisconnected))
-        assert [event.result for event in scripted.events_of(AttemptOutcome)] == [AttemptResult.NOT_SENT]
+        assert scripted.attempt_results == [AttemptResult.NOT_SENT]
         reader, _ = server.links[0]
         assert b"left" not in await reader.read()
 
--- a/tests/proxy/test_connection_pool.py
+++ b/tests/proxy/test_connection_pool.py
@@ -8,15 +8,10 @@
 
 from loadbalancer.events import AttemptResult
 from loadbalancer.http.addresses import socket_address
-from tests.support.loopback import LoopbackServer, StalledBackend, until
+from tests.support.loopback import LoopbackServer, StalledBackend, always, until
 from tests.support.messages import reply
-from tests.support.proxy import answering, attempt_result, open_pool, start_attempt, unaccepting_listener
-
-
-@pytest.fixture
-async def pool():
-    async with open_pool() as pool:
-        yield pool
+from tests.support.proxy import attempt_result, open_pool, start_attempt
+from tests.support.sockets import unaccepting_listener
 
 
 @pytest.fixture
@@ -40,7 +35,7 @@
     ],
 )
 async def test_connection_that_closes_or_has_extra_bytes_is_not_reused(response, pool):
-    async with answering(response) as server:
+    async with LoopbackServer(always(response)) as server:
         pool.add("s", server.address)
         assert [await attempt_result(pool) for _ in range(2)] == [AttemptResult.OK, AttemptResult.OK]
         assert server.connections == 2
--- a/tests/proxy/test_connection_state.py
+++ b/tests/proxy/test_connection_state.py
@@ -5,7 +5,6 @@
 import asyncio
 import contextlib
 import socket
-import struct
 from collections.abc import AsyncIterator
 
 import pytest
@@ -14,6 +13,7 @@
 from loadbalancer.http.socket_state import has_unread_data
 from tests.support.loopback import until
 from tests.support.proxy import REQUEST_BYTES
+from tests.support.sockets import close_by_reset
 
 
 class RecordingExchange:
@@ -40,12 +40,6 @@
         connection.abort()
 
 
-def reset(remote: socket.socket) -> None:
-    """Close the connection by a reset."""
-    remote.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-    remote.close()
-
-
 def wait_for_unread_data(connection: ClientConnection) -> None:
     """Wait, without a turn of the event loop, until the kernel has bytes, an end of stream or a reset."""
     assert connection._transport is not None
@@ -55,7 +49,7 @@
 
 async def test_write_that_fails_at_once_has_not_been_written():
     async with connected_pair() as (connection, remote):
-        reset(remote)
+        close_by_reset(remote)
         wait_for_unread_data(connection)
         exchange = RecordingExchange()
         connection.send_request(REQUEST_BYTES, exchange)
@@ -86,6 +80,6 @@
             with contextlib.suppress(BlockingIOError):
                 remote.recv(1_000_000)
             await asyncio.sleep(0)
-        reset(remote)
+        close_by_reset(remote)
         await until(lambda: exchange.outcomes)
         assert exchange.outcomes == [read]
--- a/tests/proxy/test_descriptor_limits.py
+++ b/tests/proxy/test_descriptor_limits.py
@@ -7,7 +7,6 @@
 import resource
 import signal
 import socket
-import subprocess
 from collections.abc import AsyncIterator, Iterator
 from dataclasses import dataclass
 from pathlib import Path
@@ -21,17 +20,11 @@
 from loadbalancer.http.socket_state import is_readable
 from loadbalancer.proxy.config import DOWNSTREAM_FRACTION, RESERVED_DESCRIPTORS, UPSTREAM_FRACTION
 from loadbalancer.proxy.proxy import Proxy
-from tests.support.discovery_outage import DiscoveryOutage, connect
+from tests.support.discovery_outage import ProxyInOutage, proxy_in_outage
 from tests.support.loopback import HttpClient, LoopbackServer, StalledBackend, running_proxy, until
 from tests.support.messages import request, targets
-from tests.support.program import (
-    READINESS_REQUEST,
-    free_address,
-    running_program,
-    send_until_response,
-    write_config,
-)
-from tests.support.proxy_config import config_document
+from tests.support.program import READINESS_REQUEST, send_until_response
+from tests.support.sockets import start_connect
 
 PARTIAL_REQUEST = b"GET /read/1 HTTP/1.1\r\nReq-Id: half\r\n"
 BURST_SIZE = 500  # idle clients that connect between two turns of the proxy's loop: the kernel queues 1024
@@ -69,7 +62,7 @@
 
     def connect_burst(self) -> None:
         """Connect `BURST_SIZE` clients at once."""
-        clients = [connect(self._address) for _ in range(BURST_SIZE)]
+        clients = [start_connect(self._address) for _ in range(BURST_SIZE)]
         for client in clients:
             with contextlib.suppress(OSError):
                 client.send(self._data)
@@ -123,59 +116,54 @@
 ]
 
 
+@dataclass(frozen=True)
 class LimitedProxy:
     """A proxy process with few descriptors, whose discovery is down.
 
     Attributes:
-        address: where it listens.
+        process: the process and its discovery.
         known_endpoint: the server behind each of the endpoints that it knows.
-        discovery: its discovery.
+        downstream_limit: connections to clients that it may have open.
+        upstream_limit: connections to endpoints that it may have open.
     """
 
-    def __init__(self, case: Case, discovery: DiscoveryOutage, known_endpoint: StalledBackend) -> None:
-        self._descriptors = case.descriptors
-        usable = case.descriptors - RESERVED_DESCRIPTORS
-        self.downstream_limit = int(usable * DOWNSTREAM_FRACTION)
-        self.upstream_limit = int(usable * UPSTREAM_FRACTION)
-        self.known_endpoint = known_endpoint
-        self.discovery = discovery
-        self.address = free_address()
-        self._program: subprocess.Popen[str]
-
-    @contextlib.asynccontextmanager
-    async def running(self, folder: Path) -> AsyncIterator[None]:
-        """Run the process, and check at the end that its log names no lack of descriptors."""
-        names = [f"old{at}" for at in range(self.upstream_limit + 50)]
-        document = config_document(
-            self.discovery.address,
-            known=targets(**{name: (self.known_endpoint.endpoint, "Ready") for name in names}),
-            limits={"sockets": self._descriptors},
-            bounds={"maxOpen": 2000, "connectTimeoutMs": 30000.0},
-            settings={"registryMode": "push"},
-        )
-        config = write_config(folder, document, self.address)
-        with running_program(config, self._descriptors) as self._program:
-            yield
-            self._program.kill()
-            _, log = await asyncio.to_thread(self._program.communicate)
-        assert "out of system resource" not in log  # asyncio's words for an accept that found no descriptor
-        assert "Too many open files" not in log
+    process: ProxyInOutage
+    known_endpoint: StalledBackend
+    downstream_limit: int
+    upstream_limit: int
+
+    @property
+    def address(self) -> Address:
+        """Where it listens."""
+        return self.process.address
 
     async def accept_burst(self, idle: IdleClients) -> None:
         """Have many clients connect while the proxy is stopped, and wait until all have been accepted."""
-        self._program.send_signal(signal.SIGSTOP)
+        self.process.program.send_signal(signal.SIGSTOP)
         idle.connect_burst()
-        self._program.send_signal(signal.SIGCONT)
+        self.process.program.send_signal(signal.SIGCONT)
         await send_until_response(self.address, READINESS_REQUEST)  # the last in the queue
 
 
 @contextlib.asynccontextmanager
 async def limited_proxy(folder: Path, case: Case) -> AsyncIterator[LimitedProxy]:
-    """A running process with few descriptors, its endpoints and its discovery."""
-    async with DiscoveryOutage(case.outage) as discovery, StalledBackend() as known_endpoint:
-        proxy = LimitedProxy(case, discovery, known_endpoint)
-        async with proxy.running(folder):
-            yield proxy
+    """Run a proxy with few descriptors, and check at the end that its log names no lack of them."""
+    usable = case.descriptors - RESERVED_DESCRIPTORS
+    upstream_limit = int(usable * UPSTREAM_FRACTION)
+    async with StalledBackend() as known_endpoint:
+        names = [f"old{at}" for at in range(upstream_limit + 50)]
+        fields = {
+            "known": targets(**{name: (known_endpoint.endpoint, "Ready") for name in names}),
+            "limits": {"sockets": case.descriptors},
+            "bounds": {"maxOpen": 2000, "connectTimeoutMs": 30000.0},
+            "settings": {"registryMode": "push"},
+        }
+        async with proxy_in_outage(folder, case.outage, case.descriptors, **fields) as process:
+            yield LimitedProxy(process, known_endpoint, int(usable * DOWNSTREAM_FRACTION), upstream_limit)
+            process.program.kill()
+            _, log = await asyncio.to_thread(process.program.communicate)
+    assert "out of system resource" not in log  # asyncio's words for an accept that found no descriptor
+    assert "Too many open files" not in log
 
 
 async def connect_busy_clients(proxy: LimitedProxy) -> list[HttpClient]:
@@ -216,12 +204,12 @@
                 await proxy.accept_burst(idle)
             if case.reconnecting:
                 idle.reconnect()
-            await proxy.discovery.end()
+            await proxy.process.discovery.end()
             proxy.known_endpoint.release.set()
             for client in clients if case.before == "busy" else []:
                 assert (await client.read_response()).status in (200, 503)
         assert (await send_until_response(proxy.address, request(name="real"))).status == 200
-        assert proxy.discovery.new_endpoint.request_ids == ["real"]
+        assert proxy.process.discovery.new_endpoint.request_ids == ["real"]
 
 
 class WritingClients:
--- a/tests/proxy/test_endpoint_updates.py
+++ b/tests/proxy/test_endpoint_updates.py
@@ -6,7 +6,6 @@
 
 from loadbalancer.discovery.endpoint_list import EndpointList
 from loadbalancer.events import (
-    AttemptOutcome,
     AttemptResult,
     Endpoint,
     EndpointState,
@@ -121,8 +120,7 @@
         await until(lambda: proxy.pool.size)
         draining = (Endpoint("s0", state=EndpointState.DRAINING),)
         proxy.membership.apply(UpdateKind.DELTA, EndpointList(9, False, draining, {"s0": Address("", 1)}))
-        results = [event.result for event in scripted.events_of(AttemptOutcome)]
-        assert results == [AttemptResult.CONNECT_FAILED] * 2
+        assert scripted.attempt_results == [AttemptResult.CONNECT_FAILED] * 2
         assert (await client.read_response()).status == 502
         assert server.seen == []
 
--- a/tests/proxy/test_forwarding.py
+++ b/tests/proxy/test_forwarding.py
@@ -53,10 +53,7 @@
         assert (await send_request(proxy, request(kind, "q1"))).status == 200
         assert (await send_request(proxy, request(kind, "q2"))).status == 502  # on the pooled connection
         assert (server.connections, len(server.seen)) == (1, 2)
-        assert [event.result for event in scripted.events_of(AttemptOutcome)] == [
-            AttemptResult.OK,
-            AttemptResult.RESET,
-        ]
+        assert scripted.attempt_results == [AttemptResult.OK, AttemptResult.RESET]
 
 
 async def test_non_idempotent_request_is_retried_after_a_rejection_only():
@@ -132,7 +129,7 @@
             await asyncio.sleep(0)
         assert response.result().status == 504
         # The policy failed the request on the time-out, before the proxy's backstop did.
-        assert [event.result for event in scripted.events_of(AttemptOutcome)] == [AttemptResult.TIMEOUT]
+        assert scripted.attempt_results == [AttemptResult.TIMEOUT]
         assert not scripted.events_of(ClientDisconnected)
 
 
--- a/tests/proxy/test_policy_events.py
+++ b/tests/proxy/test_policy_events.py
@@ -10,18 +10,11 @@
 from loadbalancer.events import AttemptOutcome, ClientDisconnected, IncomingRequest, TimerFired
 from loadbalancer.policy.policy import PERIOD_TIMER
 from loadbalancer.proxy import policy_runner
-from tests.support.loopback import LoopbackServer, StalledBackend, running_proxy, send_request, until
+from tests.support.loopback import LoopbackServer, StalledBackend, always, running_proxy, send_request, until
 from tests.support.messages import reply, request
-from tests.support.proxy import answering, run_on_skipping_loop
 from tests.support.scripted_policy import script_policy
 
 
-@pytest.fixture
-async def proxy():
-    async with running_proxy(LoopbackServer()) as proxy:
-        yield proxy
-
-
 @pytest.mark.parametrize("kind", [IncomingRequest, AttemptOutcome])
 async def test_request_gets_a_response_after_a_policy_fault(kind):
     def act(event):
@@ -29,7 +22,7 @@
             raise RuntimeError("broken")
         return [Send(event.request_id, "s0")] if isinstance(event, IncomingRequest) else []
 
-    async with running_proxy(answering(reply(500))) as proxy:
+    async with running_proxy(LoopbackServer(always(reply(500)))) as proxy:
         scripted = script_policy(proxy, act)
         assert (await send_request(proxy, request())).status == 500
         assert scripted.events_of(ClientDisconnected)
@@ -59,35 +52,31 @@
 BATCH_SIZE = 8
 
 
-async def complete_batch(proxy, backend, latency_s):
+async def complete_batch(clock, proxy, backend, latency_s):
     """Have a batch of requests served with this latency, and end the policy's period."""
     seen = len(backend.seen)
     backend.release.clear()
     requests = [request("read", f"q{seen + index}") for index in range(BATCH_SIZE)]
     responses = asyncio.gather(*(send_request(proxy, data) for data in requests))
     await until(lambda: len(backend.seen) == seen + BATCH_SIZE)
-    proxy.loop.skip(latency_s)
+    clock.advance(latency_s)
     backend.release.set()
     assert [response.status for response in await responses] == [200] * BATCH_SIZE
     proxy.policy_runner.notify(TimerFired(PERIOD_TIMER))
     proxy.policy_runner.cancel_timer(PERIOD_TIMER)  # the next period ends when the test says so
 
 
-async def move_cursor_right_and_back(_loop):
+async def test_cursor_move_waits_until_its_effect_shows_in_the_latencies(clock):
+    """Otherwise every period moves right on responses from before, and sustainable load is rejected."""
     async with running_proxy(backend := StalledBackend()) as proxy:
         proxy.policy_runner.cancel_timer(PERIOD_TIMER)
         for _ in range(3):
-            await complete_batch(proxy, backend, 0.0)
+            await complete_batch(clock, proxy, backend, 0.0)
         assert proxy.policy.cursor == 0
-        for _ in range(12):
-            await complete_batch(proxy, backend, 10.0)  # half of the objective: too slow, but not saturated
+        for _ in range(12):  # half of the objective: too slow, but not saturated
+            await complete_batch(clock, proxy, backend, 10.0)
         highest = proxy.policy.cursor
         assert 0 < highest <= 12 * BATCH_SIZE / 20
         for _ in range(6):
-            await complete_batch(proxy, backend, 0.0)
+            await complete_batch(clock, proxy, backend, 0.0)
         assert proxy.policy.cursor < highest  # a move back to the left waits for nothing
-
-
-def test_cursor_move_waits_until_its_effect_shows_in_the_latencies():
-    """Otherwise every period moves right on responses from before, and sustainable load is rejected."""
-    run_on_skipping_loop(move_cursor_right_and_back)
--- a/tests/proxy/test_start.py
+++ b/tests/proxy/test_start.py
@@ -2,28 +2,20 @@
 
 from __future__ import annotations
 
-import contextlib
 import subprocess
 import sys
-from collections.abc import AsyncIterator
-from dataclasses import dataclass
-from pathlib import Path
 
 import pytest
 
-from loadbalancer.http.addresses import Address
-from tests.support.discovery_outage import DiscoveryOutage
+from tests.support.discovery_outage import proxy_in_outage
 from tests.support.loopback import LoopbackServer
 from tests.support.messages import request, targets
 from tests.support.program import (
     READINESS_REQUEST,
     ROOT,
     free_address,
-    running_program,
     send_until_response,
-    write_config,
 )
-from tests.support.proxy_config import config_document
 
 # A start is paid in processor time. What the event loop and the two libraries bring along is not counted.
 BASE = "import asyncio, dataclasses, enum, logging, re, signal, httptools, orjson"
@@ -64,43 +56,23 @@
     assert ours <= modules | set(PROGRAM)
 
 
-@dataclass(frozen=True)
-class StartedProxy:
-    """A proxy process whose discovery is down."""
-
-    address: Address
-    discovery: DiscoveryOutage
-    old_endpoint: LoopbackServer  # one of the two of an outdated list; the other one does not listen
-
-
-@contextlib.asynccontextmanager
-async def started_proxy(folder: Path, outage: str, mode: str, known: str) -> AsyncIterator[StartedProxy]:
-    """A proxy process that knows either no endpoints or an outdated list of two."""
-    async with DiscoveryOutage(outage) as discovery, LoopbackServer() as old_endpoint:
-        address = free_address()
-        removed = "{}:{}".format(*free_address())
-        outdated = targets(removed=(removed, "Ready"), old=(old_endpoint.endpoint, "Ready"))
-        document = config_document(
-            discovery.address,
-            known=outdated if known == "outdated" else [],
-            settings={"registryMode": mode},
-        )
-        with running_program(write_config(folder, document, address)):
-            yield StartedProxy(address, discovery, old_endpoint)
-
-
 @pytest.mark.parametrize("outage", ["refuses", "hangs", "is mute"])
 @pytest.mark.parametrize("mode", ["push", "ask"])
 @pytest.mark.parametrize("known", ["outdated", "empty"])
 async def test_proxy_started_while_discovery_is_down(tmp_path, outage, mode, known):
     """With an outdated list it is ready and serves; with an empty one, once discovery is back."""
-    async with started_proxy(tmp_path, outage, mode, known) as proxy:
-        readiness = await send_until_response(proxy.address, READINESS_REQUEST)
-        assert readiness.status == (200 if known == "outdated" else 503)
-        if known == "outdated":
-            assert (await send_until_response(proxy.address, request(name="early"))).status == 200
-            assert proxy.old_endpoint.request_ids == ["early"]
-        await proxy.discovery.end()
-        assert (await send_until_response(proxy.address, READINESS_REQUEST)).status == 200
-        assert (await send_until_response(proxy.address, request(name="late"))).status == 200
-        assert proxy.discovery.new_endpoint.request_ids == ["late"]
+    async with LoopbackServer() as old_endpoint:
+        removed = "{}:{}".format(*free_address())
+        outdated = targets(removed=(removed, "Ready"), old=(old_endpoint.endpoint, "Ready"))
+        targets_at_start = outdated if known == "outdated" else []
+        settings = {"registryMode": mode}
+        async with proxy_in_outage(tmp_path, outage, known=targets_at_start, settings=settings) as proxy:
+            readiness = await send_until_response(proxy.address, READINESS_REQUEST)
+            assert readiness.status == (200 if known == "outdated" else 503)
+            if known == "outdated":
+                assert (await send_until_response(proxy.address, request(name="early"))).status == 200
+                assert old_endpoint.request_ids == ["early"]
+            await proxy.discovery.end()
+            assert (await send_until_response(proxy.address, READINESS_REQUEST)).status == 200
+            assert (await send_until_response(proxy.address, request(name="late"))).status == 200
+            assert proxy.discovery.new_endpoint.request_ids == ["late"]
--- a/tests/proxy/test_upstream_attempt.py
+++ b/tests/proxy/test_upstream_attempt.py
@@ -4,37 +4,36 @@
 
 import asyncio
 import socket
-import struct
 
 import pytest
 
 from loadbalancer.events import AttemptResult
 from loadbalancer.http.addresses import socket_address
-from tests.support.loopback import until
+from tests.support.loopback import LoopbackServer, always, until
 from tests.support.messages import reply
 from tests.support.proxy import (
     REQUEST_BYTES,
     ManualServer,
-    answering,
     attempt_result,
     open_pool,
-    run_on_skipping_loop,
-    unaccepting_listener,
 )
-
-
-@pytest.fixture
-async def pool():
-    async with open_pool() as pool:
-        yield pool
+from tests.support.sockets import close_by_reset, unaccepting_listener
 
 
 @pytest.fixture
 def listener():
     with socket.create_server(("127.0.0.1", 0)) as listening:
+        listening.setblocking(False)
         yield listening
 
 
+async def accept(listener: socket.socket) -> socket.socket:
+    """Accept a connection as a non-blocking socket, which the caller closes."""
+    accepted, _ = await asyncio.get_running_loop().sock_accept(listener)
+    accepted.setblocking(False)
+    return accepted
+
+
 @pytest.mark.parametrize(
     ("response", "expected"),
     [
@@ -52,7 +51,7 @@
     ],
 )
 async def test_response_gives_the_result_of_the_protocol(response, expected, pool):
-    async with answering(response) as server:
+    async with LoopbackServer(always(response)) as server:
         pool.add("s", server.address)
         assert await attempt_result(pool) is expected
         assert len(server.seen) == 1  # no request is ever sent a second time by itself
@@ -78,35 +77,23 @@
     await until(lambda: not pool.size)
 
 
-async def time_out_without_a_response(loop):
-    with socket.create_server(("127.0.0.1", 0)) as listener:
-        listener.setblocking(False)
-        async with open_pool() as pool:
-            pool.add("s", socket_address(listener))
-            result = asyncio.create_task(attempt_result(pool, timeout_s=60.0))
-            accepted, _ = await loop.sock_accept(listener)
-            with accepted:
-                accepted.setblocking(False)
-                assert await loop.sock_recv(accepted, 1000) == REQUEST_BYTES
-                loop.skip(60.0)
-                assert await result is AttemptResult.TIMEOUT
-                assert await loop.sock_recv(accepted, 1000) == b""
-
-
-def test_missing_response_is_a_timeout_and_closes_the_connection():
-    run_on_skipping_loop(time_out_without_a_response)
+async def test_missing_response_is_a_timeout_and_closes_the_connection(clock, pool, listener):
+    pool.add("s", socket_address(listener))
+    result = asyncio.create_task(attempt_result(pool, timeout_s=60.0))
+    with await accept(listener) as accepted:
+        loop = asyncio.get_running_loop()
+        assert await loop.sock_recv(accepted, 1000) == REQUEST_BYTES
+        clock.advance(60.0)
+        assert await result is AttemptResult.TIMEOUT
+        assert await loop.sock_recv(accepted, 1000) == b""
 
 
 async def test_reset_before_the_last_byte_is_written_is_connect_failed(pool, listener):
     pool.add("s", socket_address(listener))
     result = asyncio.create_task(attempt_result(pool, data=b"x" * 30_000_000))
-    loop = asyncio.get_running_loop()
-    listener.setblocking(False)
-    accepted, _ = await loop.sock_accept(listener)
-    with accepted:
-        accepted.setblocking(False)
-        await loop.sock_recv(accepted, 1000)
-        accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    accepted = await accept(listener)
+    await asyncio.get_running_loop().sock_recv(accepted, 1000)
+    close_by_reset(accepted)
     assert await result is AttemptResult.CONNECT_FAILED
 
 
--- a/tests/support/disconnects.py
+++ b/tests/support/disconnects.py
@@ -4,7 +4,6 @@
 
 import asyncio
 import socket
-import struct
 import time
 
 from loadbalancer.actions import Action, Send
@@ -15,6 +14,7 @@
 from tests.support.builders import allow_only
 from tests.support.loopback import HttpClient, LoopbackServer, send_request, until
 from tests.support.messages import Message, reply, request
+from tests.support.sockets import close_by_reset
 
 ESTABLISHED, FIN_WAIT_1 = 1, 4  # states of Linux's TCP
 
@@ -52,10 +52,10 @@
         if self._way == "with bytes unread before its end":
             self.send(request("post", "behind"))
         if self._way == "by a reset":
-            self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        else:
-            self._socket.shutdown(socket.SHUT_WR)
-            self._wait_until_end_of_stream_arrived()
+            close_by_reset(self._socket)
+            return
+        self._socket.shutdown(socket.SHUT_WR)
+        self._wait_until_end_of_stream_arrived()
         if self._way != "by ending its sending":
             self._socket.close()
 
--- a/tests/support/discovery_outage.py
+++ b/tests/support/discovery_outage.py
@@ -3,22 +3,20 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import socket
-from typing import Self
+import subprocess
+from collections.abc import AsyncIterator
+from dataclasses import dataclass
+from pathlib import Path
+from typing import Any, Self
 
 from loadbalancer.http.addresses import Address
 from tests.support.loopback import LoopbackServer, until
 from tests.support.messages import Message, endpoint_list_response
-
-FILLERS = 4  # connections that fill an accept queue of length 0
-
-
-def connect(address: Address) -> socket.socket:
-    """Start to connect: on loopback the connection is up at once, unless the accept queue is full."""
-    connecting = socket.socket()
-    connecting.setblocking(False)
-    connecting.connect_ex(address)
-    return connecting
+from tests.support.program import free_address, running_program, write_config
+from tests.support.proxy_config import config_document
+from tests.support.sockets import full_accept_queue
 
 
 class DiscoveryOutage:
@@ -33,11 +31,11 @@
         self._discovery = LoopbackServer(self._list)
         self._socket = socket.socket()
         self._socket.bind(("127.0.0.1", 0))
-        self._fillers: list[socket.socket] = []
-        if kind != "refuses":
-            self._socket.listen(0 if kind == "hangs" else 100)
-        if kind == "hangs":  # no further connection is established once the accept queue is full
-            self._fillers = [connect(self._socket.getsockname()) for _ in range(FILLERS)]
+        self._hang = contextlib.ExitStack()
+        if kind == "hangs":
+            self._hang.enter_context(full_accept_queue(self._socket))
+        if kind == "is mute":
+            self._socket.listen()
 
     @property
     def address(self) -> str:
@@ -49,15 +47,11 @@
         return self
 
     async def __aexit__(self, *_error: object) -> None:
-        self._close_fillers()
+        self._hang.close()
         await self._discovery.aclose()
         await self.new_endpoint.aclose()
         self._socket.close()
 
-    def _close_fillers(self) -> None:
-        for filler in self._fillers:
-            filler.close()
-
     async def _list(self, message: Message) -> bytes:
         if "since=1&" not in message.first[1]:
             await asyncio.Event().wait()
@@ -65,7 +59,34 @@
 
     async def end(self) -> None:
         """Bring discovery back, and wait until its client has the new list."""
-        self._close_fillers()
+        self._hang.close()
         self._socket.setblocking(False)
         await self._discovery.start(self._socket)
         await until(lambda: any("since=2&" in message.first[1] for message in self._discovery.seen))
+
+
+@dataclass(frozen=True)
+class ProxyInOutage:
+    """A proxy process whose discovery is down.
+
+    Attributes:
+        address: where it listens.
+        discovery: its discovery.
+        program: the process.
+    """
+
+    address: Address
+    discovery: DiscoveryOutage
+    program: subprocess.Popen[str]
+
+
+@contextlib.asynccontextmanager
+async def proxy_in_outage(
+    folder: Path, outage: str, descriptor_limit: int | None = None, **document: Any
+) -> AsyncIterator[ProxyInOutage]:
+    """Run a proxy process in an outage of this kind; the document's fields are as in `config_document`."""
+    async with DiscoveryOutage(outage) as discovery:
+        address = free_address()
+        config = write_config(folder, config_document(discovery.address, **document), address)
+        with running_program(config, descriptor_limit) as program:
+            yield ProxyInOutage(address, discovery, program)
--- a/tests/support/proxy.py
+++ b/tests/support/proxy.py
@@ -4,9 +4,7 @@
 
 import asyncio
 import contextlib
-import socket
-from collections.abc import AsyncIterator, Callable, Coroutine, Iterator
-from typing import Any
+from collections.abc import AsyncIterator, Callable
 
 from loadbalancer.actions import Action, Fail, Send
 from loadbalancer.events import AttemptOutcome, AttemptResult, Event, IncomingRequest
@@ -16,7 +14,6 @@
 from loadbalancer.proxy.proxy import Proxy
 from loadbalancer.proxy.upstream_attempt import UpstreamAttempt
 from tests.support.loopback import LoopbackServer, until
-from tests.support.messages import Message
 
 OnResult = Callable[[AttemptResult, HttpResponse | None], object]
 
@@ -40,30 +37,6 @@
         self._on_result(result, response)
 
 
-class SkippingEventLoop(asyncio.SelectorEventLoop):
-    """An event loop whose clock a test advances; its timers fire accordingly."""
-
-    def __init__(self) -> None:
-        self._skipped_s = 0.0
-        super().__init__()
-
-    def time(self) -> float:
-        """The event loop's time, in seconds."""
-        return super().time() + self._skipped_s
-
-    def skip(self, seconds: float) -> None:
-        """Advance the clock."""
-        self._skipped_s += seconds
-
-
-def run_on_skipping_loop(main: Callable[[SkippingEventLoop], Coroutine[Any, Any, None]]) -> None:
-    """Run a coroutine function on a new event loop, which it gets as its argument."""
-    with asyncio.Runner(loop_factory=SkippingEventLoop) as runner:
-        loop = runner.get_loop()
-        assert isinstance(loop, SkippingEventLoop)
-        runner.run(main(loop))
-
-
 def start_attempt(
     pool: ConnectionPool,
     endpoint: str,
@@ -149,25 +122,3 @@
     finally:
         pool.close()
         await until(lambda: pool.size == 0)
-
-
-def answering(response: bytes | None) -> LoopbackServer:
-    """A server with one response to every request; None closes the connection."""
-
-    async def script(_message: Message) -> bytes | None:
-        return response
-
-    return LoopbackServer(script)
-
-
-@contextlib.contextmanager
-def unaccepting_listener() -> Iterator[socket.socket]:
-    """A listener where connections are never established: its queue is full and nobody accepts."""
-    with socket.socket() as listener, contextlib.ExitStack() as stack:
-        listener.bind(("127.0.0.1", 0))
-        listener.listen(0)
-        for _ in range(4):
-            filler = stack.enter_context(socket.socket())
-            filler.setblocking(False)
-            filler.connect_ex(listener.getsockname())
-        yield listener
--- a/tests/support/scripted_policy.py
+++ b/tests/support/scripted_policy.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from loadbalancer.actions import Action
-from loadbalancer.events import AttemptOutcome, Event, IncomingRequest
+from loadbalancer.events import AttemptOutcome, AttemptResult, Event, IncomingRequest
 from loadbalancer.proxy.proxy import Proxy
 
 
@@ -28,6 +28,11 @@
         """The recorded events of one type."""
         return [event for event in self.events if isinstance(event, kind)]
 
+    @property
+    def attempt_results(self) -> list[AttemptResult]:
+        """The results of the recorded outcomes."""
+        return [event.result for event in self.events_of(AttemptOutcome)]
+
 
 def script_policy(proxy: Proxy, act: Callable[[Event], list[Action]] = lambda event: []) -> ScriptedPolicy:
     """Replace a proxy's policy by a scripted one, which is returned."""
--- /dev/null
+++ b/tests/support/sockets.py
@@ -0,0 +1,48 @@
+"""Blocking and unaccepted sockets on the loopback address, which act without the event loop."""
+
+from __future__ import annotations
+
+import contextlib
+import socket
+import struct
+from collections.abc import Iterator
+
+from loadbalancer.http.addresses import Address
+
+FILLERS = 4  # connections that fill an accept queue of length 0
+
+
+def start_connect(address: Address) -> socket.socket:
+    """Start to connect: on loopback the connection is up at once, unless the accept queue is full."""
+    connecting = socket.socket()
+    connecting.setblocking(False)
+    connecting.connect_ex(address)
+    return connecting
+
+
+@contextlib.contextmanager
+def full_accept_queue(listener: socket.socket) -> Iterator[None]:
+    """Listen on a bound socket, on which no connection is established within the context.
+
+    Its accept queue is full and nobody accepts.
+    """
+    listener.listen(0)
+    with contextlib.ExitStack() as fillers:
+        for _ in range(FILLERS):
+            fillers.enter_context(start_connect(listener.getsockname()))
+        yield
+
+
+@contextlib.contextmanager
+def unaccepting_listener() -> Iterator[socket.socket]:
+    """A listener to which no connection is established."""
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", 0))
+        with full_accept_queue(listener):
+            yield listener
+
+
+def close_by_reset(connected: socket.socket) -> None:
+    """Close a connection by a reset in place of an end of stream."""
+    connected.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    connected.close()
