--- a/tests/proxy/conftest.py
+++ b/tests/proxy/conftest.py
@@ -17,13 +17,19 @@
 
 @pytest.fixture
 def backend():
-    """The backend of `proxy`."""
+    """The backend of `proxy`, whose script a test may set."""
     return LoopbackServer()
 
 
 @pytest.fixture
-async def proxy(backend):
-    async with running_proxy(backend) as proxy:
+def proxy_options():
+    """Further arguments of `running_proxy` for `proxy`; a module with another configuration overrides it."""
+    return {}
+
+
+@pytest.fixture
+async def proxy(backend, proxy_options):
+    async with running_proxy(backend, **proxy_options) as proxy:
         yield proxy
 
 
--- a/tests/proxy/test_client_disconnects.py
+++ b/tests/proxy/test_client_disconnects.py
@@ -23,7 +23,7 @@
     disconnect_at_connection,
     disconnect_at_send,
 )
-from tests.support.loopback import HttpClient, LoopbackServer, always, running_proxy, send_request, until
+from tests.support.loopback import HttpClient, always, running_proxy, send_request, until
 from tests.support.messages import reply, request
 from tests.support.proxy import policy_sending_to
 from tests.support.scripted_policy import acting_on, script_policy
@@ -188,26 +188,28 @@
         assert (proxy.requests.open_count, backends.seen) == (0, ["next"])
 
 
-async def test_client_that_ends_its_sending_and_reads_no_response_is_disconnected(monkeypatch):
+async def test_client_that_ends_its_sending_and_reads_no_response_is_disconnected(
+    monkeypatch, backend, proxy
+):
     """asyncio keeps such a connection until all is read: its loss would never be reported."""
+    backend.script = always(reply(200, LARGE_BODY))
     monkeypatch.setattr("loadbalancer.http.request_timeouts.UNREAD_TIMEOUT_S", 0.0)
     monkeypatch.setattr("loadbalancer.http.request_timeouts.LINGER_TIMEOUT_S", 0.0)
-    async with running_proxy(LoopbackServer(always(reply(200, LARGE_BODY)))) as proxy:
-        send = policy_sending_to("s0")
-        only_first = acting_on(lambda event: send(event) if event.request_id == "first" else [])
-        scripted = script_policy(proxy, only_first)
-        async with slow_reader(proxy) as (client, connection):
-            client.sendall(request("post", "first") + request("post", "abandoned"))
-            await until(lambda: "abandoned" in proxy.requests.by_id)  # the first response waits to be read
-            assert connection.unsent_bytes
-            client.shutdown(socket.SHUT_WR)
-            await until(lambda: connection._transport.is_closing())
-            assert [event.request_id for event in scripted.events_of(ClientDisconnected)] == ["abandoned"]
-            assert (proxy.requests.open_count, proxy.requests.by_id) == (0, {})
-            proxy.policy_runner.execute(Send("abandoned", "s0"))
-            assert scripted.events_of(AttemptOutcome)[-1].result is AttemptResult.NOT_SENT
-            proxy.listener.timeouts.end_overdue()
-            await until(lambda: not proxy.listener.connections)
+    send = policy_sending_to("s0")
+    only_first = acting_on(lambda event: send(event) if event.request_id == "first" else [])
+    scripted = script_policy(proxy, only_first)
+    async with slow_reader(proxy) as (client, connection):
+        client.sendall(request("post", "first") + request("post", "abandoned"))
+        await until(lambda: "abandoned" in proxy.requests.by_id)  # the first response waits to be read
+        assert connection.unsent_bytes
+        client.shutdown(socket.SHUT_WR)
+        await until(lambda: connection._transport.is_closing())
+        assert [event.request_id for event in scripted.events_of(ClientDisconnected)] == ["abandoned"]
+        assert (proxy.requests.open_count, proxy.requests.by_id) == (0, {})
+        proxy.policy_runner.execute(Send("abandoned", "s0"))
+        assert scripted.events_of(AttemptOutcome)[-1].result is AttemptResult.NOT_SENT
+        proxy.listener.timeouts.end_overdue()
+        await until(lambda: not proxy.listener.connections)
 
 
 class EagerClient(DisconnectingClient):
--- a/tests/proxy/test_connection_limits.py
+++ b/tests/proxy/test_connection_limits.py
@@ -9,11 +9,12 @@
 import socket
 from pathlib import Path
 
+import pytest
+
 from loadbalancer.actions import Reject
 from loadbalancer.events import IncomingRequest
 from tests.support.loopback import (
     HttpClient,
-    LoopbackServer,
     StalledBackend,
     running_proxy,
     send_request,
@@ -29,6 +30,12 @@
     return len(list(Path("/proc/self/fd").iterdir()))
 
 
+@pytest.fixture
+def proxy_options():
+    """Few descriptors, which allow 67 connections to clients."""
+    return {"limits": {"sockets": 132}}
+
+
 async def test_requests_over_the_maximum_are_rejected_at_once():
     server = StalledBackend()
     async with running_proxy(server, bounds={"maxOpen": 1}) as proxy:
@@ -40,20 +47,16 @@
         assert len(server.seen) == 1
 
 
-async def test_flood_of_connections_is_accepted_up_to_the_downstream_limit():
-    async with running_proxy(LoopbackServer(), limits={"sockets": 132}) as proxy:
-        stop_listener_clock(proxy)
-        clients = [await HttpClient.to(proxy) for _ in range(200)]
-        await until(lambda: len(proxy.listener.connections) <= proxy.listener.limit)
-        assert proxy.listener.limit == 67
-        assert (await clients[-1].send(request())).status == 200
+async def test_flood_of_connections_is_accepted_up_to_the_downstream_limit(proxy):
+    stop_listener_clock(proxy)
+    clients = [await HttpClient.to(proxy) for _ in range(200)]
+    await until(lambda: len(proxy.listener.connections) <= proxy.listener.limit)
+    assert proxy.listener.limit == 67
+    assert (await clients[-1].send(request())).status == 200
 
 
-async def test_burst_of_connections_keeps_to_the_descriptor_limit():
-    async with (
-        running_proxy(LoopbackServer(), limits={"sockets": 132}) as proxy,
-        contextlib.AsyncExitStack() as stack,
-    ):
+async def test_burst_of_connections_keeps_to_the_descriptor_limit(proxy):
+    with contextlib.ExitStack() as stack:
         gc.collect()  # a collection while this test counts could close descriptors of earlier tests
         before = open_descriptors()
         # All are in the kernel's queue before the proxy has a turn.
@@ -67,32 +70,30 @@
         assert proxy.listener.limit <= peak <= 100
 
 
-async def test_request_over_the_connection_limit_is_rejected_and_its_connection_closed():
-    async with running_proxy(LoopbackServer(), limits={"sockets": 132}) as proxy:
-        scripted = script_policy(proxy)  # holds every request
-        clients = [await HttpClient.to(proxy) for _ in range(proxy.listener.limit)]
-        for at, client in enumerate(clients):
-            client.writer.write(request(name=f"q{at}"))
-        await until(lambda: proxy.requests.open_count == len(clients))
-        late = await send_request(proxy, request(name="late"))
-        assert (late.status, late.headers["connection"]) == (503, "close")
-        assert len(scripted.events_of(IncomingRequest)) == len(clients)
-        await until(lambda: len(proxy.listener.connections) == len(clients))
-        for at, client in enumerate(clients):
-            proxy.policy_runner.execute(Reject(f"q{at}"))
-            assert (await client.read_response()).status == 503
+async def test_request_over_the_connection_limit_is_rejected_and_its_connection_closed(proxy):
+    scripted = script_policy(proxy)  # holds every request
+    clients = [await HttpClient.to(proxy) for _ in range(proxy.listener.limit)]
+    for at, client in enumerate(clients):
+        client.writer.write(request(name=f"q{at}"))
+    await until(lambda: proxy.requests.open_count == len(clients))
+    late = await send_request(proxy, request(name="late"))
+    assert (late.status, late.headers["connection"]) == (503, "close")
+    assert len(scripted.events_of(IncomingRequest)) == len(clients)
+    await until(lambda: len(proxy.listener.connections) == len(clients))
+    for at, client in enumerate(clients):
+        proxy.policy_runner.execute(Reject(f"q{at}"))
+        assert (await client.read_response()).status == 503
 
 
-async def test_request_takes_the_place_of_a_connection_that_has_just_become_idle():
+async def test_request_takes_the_place_of_a_connection_that_has_just_become_idle(proxy):
     """A request needs no grace period of idle connections to end, unlike a mere connection."""
-    async with running_proxy(LoopbackServer(), limits={"sockets": 132}) as proxy:
-        stop_listener_clock(proxy)
-        clients = [await HttpClient.to(proxy) for _ in range(proxy.listener.limit)]
-        for at, client in enumerate(clients):
-            assert (await client.send(request(name=f"q{at}"))).status == 200
-        late = await HttpClient.to(proxy)
-        await until(lambda: len(proxy.listener.connections) > proxy.listener.limit)  # all stay open
-        assert (await late.send(request(name="late"))).status == 200
-        assert proxy.statistics.requests_over_limit == 0
-        assert await clients[0].reader.read() == b""  # the one idle for longest
-        assert (await clients[1].send(request(name="again"))).status == 200
+    stop_listener_clock(proxy)
+    clients = [await HttpClient.to(proxy) for _ in range(proxy.listener.limit)]
+    for at, client in enumerate(clients):
+        assert (await client.send(request(name=f"q{at}"))).status == 200
+    late = await HttpClient.to(proxy)
+    await until(lambda: len(proxy.listener.connections) > proxy.listener.limit)  # all stay open
+    assert (await late.send(request(name="late"))).status == 200
+    assert proxy.statistics.requests_over_limit == 0
+    assert await clients[0].reader.read() == b""  # the one idle for longest
+    assert (await clients[1].send(request(name="again"))).status == 200
--- a/tests/proxy/test_descriptor_limits.py
+++ b/tests/proxy/test_descriptor_limits.py
@@ -21,7 +21,7 @@
 from loadbalancer.proxy.config import DOWNSTREAM_FRACTION, RESERVED_DESCRIPTORS, UPSTREAM_FRACTION
 from loadbalancer.proxy.proxy import Proxy
 from tests.support.discovery_outage import ProxyInOutage, proxy_in_outage
-from tests.support.loopback import HttpClient, LoopbackServer, StalledBackend, running_proxy, until
+from tests.support.loopback import HttpClient, StalledBackend, until
 from tests.support.messages import request, targets
 from tests.support.program import READINESS_REQUEST, send_until_response
 from tests.support.sockets import start_connect
@@ -242,17 +242,21 @@
             client.close()
 
 
-async def test_unidentified_clients_that_keep_writing_do_not_let_connections_grow():
+@pytest.fixture
+def proxy_options():
+    return {"limits": {"sockets": 132}}
+
+
+async def test_unidentified_clients_that_keep_writing_do_not_let_connections_grow(proxy):
     """If bytes wait on every connection that could be closed, a new one is closed unread."""
-    async with running_proxy(LoopbackServer(), limits={"sockets": 132}) as proxy:
-        listener = proxy.listener
-        writing = WritingClients(proxy, [await HttpClient.to(proxy) for _ in range(listener.limit)])
-        await until(lambda: len(listener.connections) == listener.limit)
-        writing.start()
-        async with IdleClients(listener.address, b"") as idle:
-            idle.connect_burst()
-            listening = listener.listening_sockets[0].fileno()
-            await until(lambda: writing.peak_connections > listener.limit and not is_readable(listening))
-        writing.stop()
-        excess = EXCESS_ACCEPT_BATCHES * listener.accept_batch
-        assert writing.peak_connections - listener.limit == excess
+    listener = proxy.listener
+    writing = WritingClients(proxy, [await HttpClient.to(proxy) for _ in range(listener.limit)])
+    await until(lambda: len(listener.connections) == listener.limit)
+    writing.start()
+    async with IdleClients(listener.address, b"") as idle:
+        idle.connect_burst()
+        listening = listener.listening_sockets[0].fileno()
+        await until(lambda: writing.peak_connections > listener.limit and not is_readable(listening))
+    writing.stop()
+    excess = EXCESS_ACCEPT_BATCHES * listener.accept_batch
+    assert writing.peak_connections - listener.limit == excess
--- a/tests/proxy/test_endpoint_updates.py
+++ b/tests/proxy/test_endpoint_updates.py
@@ -111,18 +111,17 @@
         assert set(proxy.policy.endpoints.by_name) == {"s9"}
 
 
-async def test_drain_withdraws_connecting_attempts_for_a_retry():
-    async with running_proxy(server := LoopbackServer()) as proxy:
-        scripted = script_policy(proxy, policy_sending_to("s0", "s0"))
-        GatedConnects(proxy)  # whose gate stays closed: no connection is established
-        client = await HttpClient.to(proxy)
-        client.writer.write(request())
-        await until(lambda: proxy.pool.size)
-        draining = (Endpoint("s0", state=EndpointState.DRAINING),)
-        proxy.membership.apply(UpdateKind.DELTA, EndpointList(9, False, draining, {"s0": Address("", 1)}))
-        assert scripted.attempt_results == [AttemptResult.CONNECT_FAILED] * 2
-        assert (await client.read_response()).status == 502
-        assert server.seen == []
+async def test_drain_withdraws_connecting_attempts_for_a_retry(backend, proxy):
+    scripted = script_policy(proxy, policy_sending_to("s0", "s0"))
+    GatedConnects(proxy)  # whose gate stays closed: no connection is established
+    client = await HttpClient.to(proxy)
+    client.writer.write(request())
+    await until(lambda: proxy.pool.size)
+    draining = (Endpoint("s0", state=EndpointState.DRAINING),)
+    proxy.membership.apply(UpdateKind.DELTA, EndpointList(9, False, draining, {"s0": Address("", 1)}))
+    assert scripted.attempt_results == [AttemptResult.CONNECT_FAILED] * 2
+    assert (await client.read_response()).status == 502
+    assert backend.seen == []
 
 
 async def test_ready_only_with_an_endpoint_to_send_to():
--- a/tests/proxy/test_forwarding.py
+++ b/tests/proxy/test_forwarding.py
@@ -24,36 +24,34 @@
 from tests.support.scripted_policy import acting_on, script_policy
 
 
-async def test_request_is_forwarded_unchanged_and_its_response_returned():
-    server = LoopbackServer(always(reply(200, b"posted", Srv_Load="TEXT inflight=7, queue=3, util=0.61")))
-    async with running_proxy(server) as proxy:
-        response = await send_request(
-            proxy, request("post", "q7", b'{"a":1}', Req_Deadline_Ms="9000", Idempotency_Key="k1")
-        )
-        assert (response.status, response.body) == (200, b"posted")
-        seen = server.seen[0]
-        assert seen.first == ["POST", "/post/7f3a?x=1", "HTTP/1.1"]
-        assert seen.body == b'{"a":1}'
-        assert (seen.headers["req-id"], seen.headers["idempotency-key"]) == ("q7", "k1")
-        assert 0 < int(seen.headers["req-deadline-ms"]) < 9000
-        assert proxy.policy.endpoints.by_name["s0"].reported_queue == 3
-        assert proxy.requests.by_id == {}
+async def test_request_is_forwarded_unchanged_and_its_response_returned(backend, proxy):
+    backend.script = always(reply(200, b"posted", Srv_Load="TEXT inflight=7, queue=3, util=0.61"))
+    response = await send_request(
+        proxy, request("post", "q7", b'{"a":1}', Req_Deadline_Ms="9000", Idempotency_Key="k1")
+    )
+    assert (response.status, response.body) == (200, b"posted")
+    seen = backend.seen[0]
+    assert seen.first == ["POST", "/post/7f3a?x=1", "HTTP/1.1"]
+    assert seen.body == b'{"a":1}'
+    assert (seen.headers["req-id"], seen.headers["idempotency-key"]) == ("q7", "k1")
+    assert 0 < int(seen.headers["req-deadline-ms"]) < 9000
+    assert proxy.policy.endpoints.by_name["s0"].reported_queue == 3
+    assert proxy.requests.by_id == {}
 
 
 @pytest.mark.parametrize("kind", ["post", "read"])
-async def test_only_the_policy_retries(kind, monkeypatch):
+async def test_only_the_policy_retries(kind, monkeypatch, backend, proxy):
     monkeypatch.setattr("loadbalancer.proxy.connection_pool.REUSE_DELAY_S", 0.0)
 
     async def script(message):
-        return None if len(server.seen) == 2 else reply()
+        return None if len(backend.seen) == 2 else reply()
 
-    server = LoopbackServer(script)
-    async with running_proxy(server) as proxy:
-        scripted = script_policy(proxy, policy_sending_to("s0"))
-        assert (await send_request(proxy, request(kind, "q1"))).status == 200
-        assert (await send_request(proxy, request(kind, "q2"))).status == 502  # on the pooled connection
-        assert (server.connections, len(server.seen)) == (1, 2)
-        assert scripted.attempt_results == [AttemptResult.OK, AttemptResult.RESET]
+    backend.script = script
+    scripted = script_policy(proxy, policy_sending_to("s0"))
+    assert (await send_request(proxy, request(kind, "q1"))).status == 200
+    assert (await send_request(proxy, request(kind, "q2"))).status == 502  # on the pooled connection
+    assert (backend.connections, len(backend.seen)) == (1, 2)
+    assert scripted.attempt_results == [AttemptResult.OK, AttemptResult.RESET]
 
 
 async def test_non_idempotent_request_is_retried_after_a_rejection_only():
@@ -68,25 +66,24 @@
         assert len(first.seen) + len(second.seen) == 3
 
 
-async def test_attempt_past_the_maximum_or_of_an_ended_request_is_not_sent():
+async def test_attempt_past_the_maximum_or_of_an_ended_request_is_not_sent(backend, proxy):
     def retry(event):
         not_sent = event.result is AttemptResult.NOT_SENT
         return [Fail(event.request_id) if not_sent else Send(event.request_id, "s0")]
 
-    server = LoopbackServer(always(reply(500)))
-    async with running_proxy(server) as proxy:
-        scripted = script_policy(proxy, acting_on(lambda event: [Send(event.request_id, "s0")], retry))
-        assert (await send_request(proxy, request())).status == 502
-        assert len(server.seen) == 3
-        outcomes = scripted.events_of(AttemptOutcome)
-        assert [event.attempt for event in outcomes] == [0, 1, 2, 3]
-        assert outcomes[-1].result is AttemptResult.NOT_SENT
-        scripted = script_policy(proxy)
-        proxy.policy_runner.execute(Send("q1", "s0"))
-        assert [(event.result, event.done) for event in scripted.events_of(AttemptOutcome)] == [
-            (AttemptResult.NOT_SENT, True)
-        ]
-        assert len(server.seen) == 3
+    backend.script = always(reply(500))
+    scripted = script_policy(proxy, acting_on(lambda event: [Send(event.request_id, "s0")], retry))
+    assert (await send_request(proxy, request())).status == 502
+    assert len(backend.seen) == 3
+    outcomes = scripted.events_of(AttemptOutcome)
+    assert [event.attempt for event in outcomes] == [0, 1, 2, 3]
+    assert outcomes[-1].result is AttemptResult.NOT_SENT
+    scripted = script_policy(proxy)
+    proxy.policy_runner.execute(Send("q1", "s0"))
+    assert [(event.result, event.done) for event in scripted.events_of(AttemptOutcome)] == [
+        (AttemptResult.NOT_SENT, True)
+    ]
+    assert len(backend.seen) == 3
 
 
 async def test_attempt_of_a_disconnected_client_still_has_its_outcome():
@@ -133,36 +130,31 @@
         assert not scripted.events_of(ClientDisconnected)
 
 
-async def test_attempt_past_the_deadline_is_not_sent_and_touches_no_socket():
-    server = LoopbackServer()
-    async with running_proxy(server) as proxy:
-        send_twice = acting_on(
-            lambda event: 2 * [Send(event.request_id, "s0")], lambda event: [Reject(event.request_id)]
-        )
-        scripted = script_policy(proxy, send_twice)
-        assert (await send_request(proxy, request(Req_Deadline_Ms="0"))).status == 503
-        outcomes = [(event.result, event.attempt) for event in scripted.events_of(AttemptOutcome)]
-        assert outcomes == [(AttemptResult.NOT_SENT, 0), (AttemptResult.NOT_SENT, 1)]
-        assert server.connections == 0
+async def test_attempt_past_the_deadline_is_not_sent_and_touches_no_socket(backend, proxy):
+    send_twice = acting_on(
+        lambda event: 2 * [Send(event.request_id, "s0")], lambda event: [Reject(event.request_id)]
+    )
+    scripted = script_policy(proxy, send_twice)
+    assert (await send_request(proxy, request(Req_Deadline_Ms="0"))).status == 503
+    outcomes = [(event.result, event.attempt) for event in scripted.events_of(AttemptOutcome)]
+    assert outcomes == [(AttemptResult.NOT_SENT, 0), (AttemptResult.NOT_SENT, 1)]
+    assert backend.connections == 0
 
 
-async def test_connections_from_before_an_endpoints_restart_are_not_reused(monkeypatch):
+async def test_connections_from_before_an_endpoints_restart_are_not_reused(monkeypatch, backend, proxy):
     monkeypatch.setattr("loadbalancer.proxy.connection_pool.REUSE_DELAY_S", 0.0)
-    server = LoopbackServer()
-    async with running_proxy(server) as proxy:
-        assert (await send_request(proxy, request(name="q1"))).status == 200
-        endpoints = {"s0": server.address}
-        for started_ms in (5.0, 5.0):
-            endpoint_list = EndpointList(9, False, (Endpoint("s0", started_ms=started_ms),), endpoints)
-            proxy.membership.apply(UpdateKind.DELTA, endpoint_list)
-            assert (await send_request(proxy, request(name="q2"))).status == 200
-        assert server.connections == 2
-
-
-async def test_attempt_to_an_endpoint_that_is_not_in_the_pool_is_connect_failed():
-    async with running_proxy(LoopbackServer()) as proxy:
-        scripted = script_policy(proxy, policy_sending_to("unknown"))
-        assert (await send_request(proxy, request())).status == 502
-        (outcome,) = scripted.events_of(AttemptOutcome)
-        assert (outcome.result, outcome.done) == (AttemptResult.CONNECT_FAILED, False)
-        assert not proxy.requests.by_id
+    assert (await send_request(proxy, request(name="q1"))).status == 200
+    endpoints = {"s0": backend.address}
+    for started_ms in (5.0, 5.0):
+        endpoint_list = EndpointList(9, False, (Endpoint("s0", started_ms=started_ms),), endpoints)
+        proxy.membership.apply(UpdateKind.DELTA, endpoint_list)
+        assert (await send_request(proxy, request(name="q2"))).status == 200
+    assert backend.connections == 2
+
+
+async def test_attempt_to_an_endpoint_that_is_not_in_the_pool_is_connect_failed(proxy):
+    scripted = script_policy(proxy, policy_sending_to("unknown"))
+    assert (await send_request(proxy, request())).status == 502
+    (outcome,) = scripted.events_of(AttemptOutcome)
+    assert (outcome.result, outcome.done) == (AttemptResult.CONNECT_FAILED, False)
+    assert not proxy.requests.by_id
--- a/tests/proxy/test_graceful_shutdown.py
+++ b/tests/proxy/test_graceful_shutdown.py
@@ -49,6 +49,14 @@
     return client
 
 
+async def connect_with_request_in_flight(proxy: Proxy, server: StalledBackend) -> HttpClient:
+    """A client whose request `held` waits for its response."""
+    client = await HttpClient.to(proxy)
+    client.writer.write(request("read", "held"))
+    await until(lambda: server.seen)
+    return client
+
+
 @pytest.mark.usefixtures("short_shutdown")
 async def test_request_in_flight_at_the_end_is_rejected_if_it_is_idempotent():
     """Its server hangs: the idempotent one is rejected, the other one may have been executed and fails."""
@@ -64,18 +72,16 @@
 
 
 @pytest.mark.usefixtures("short_shutdown")
-async def test_request_whose_attempt_connects_at_the_end_is_rejected_and_never_sent():
-    server = LoopbackServer()
-    async with running_proxy(server) as proxy:
-        gated = GatedConnects(proxy)
-        client = await HttpClient.to(proxy)
-        client.writer.write(request("post"))
-        await until(lambda: gated.connects)
-        async with shutting_down(proxy), client:
-            assert (await client.read_response()).status == 503
-            gated.gate.set()
-        await until(lambda: not proxy.pool.size)
-        assert server.seen == []
+async def test_request_whose_attempt_connects_at_the_end_is_rejected_and_never_sent(backend, proxy):
+    gated = GatedConnects(proxy)
+    client = await HttpClient.to(proxy)
+    client.writer.write(request("post"))
+    await until(lambda: gated.connects)
+    async with shutting_down(proxy), client:
+        assert (await client.read_response()).status == 503
+        gated.gate.set()
+    await until(lambda: not proxy.pool.size)
+    assert backend.seen == []
 
 
 @pytest.mark.usefixtures("short_shutdown")
@@ -83,9 +89,8 @@
     server = StalledBackend()
     late_request = request("post", "late")
     async with running_proxy(server) as proxy:
-        late, in_flight = await connect_with_half_request(proxy, late_request), await HttpClient.to(proxy)
-        in_flight.writer.write(request("read", "held"))
-        await until(lambda: server.seen)
+        late = await connect_with_half_request(proxy, late_request)
+        in_flight = await connect_with_request_in_flight(proxy, server)
         async with shutting_down(proxy), late, in_flight:
             assert (await in_flight.read_response()).status == 503
             assert (await late.send(late_request[HALF:])).status == 503
@@ -99,9 +104,8 @@
     server = StalledBackend()
     half_request = request("post", "half")
     async with running_proxy(server) as proxy:
-        half, in_flight = await connect_with_half_request(proxy, half_request), await HttpClient.to(proxy)
-        in_flight.writer.write(request("read", "held"))
-        await until(lambda: server.seen)
+        half = await connect_with_half_request(proxy, half_request)
+        in_flight = await connect_with_request_in_flight(proxy, server)
         async with shutting_down(proxy), half, in_flight:
             idle = await HttpClient.to(proxy)
             assert await idle.reader.read() == b""  # by now idle connections are being closed
@@ -134,12 +138,12 @@
 @pytest.mark.parametrize(
     "keep_alive", [pytest.param(True, id="kept alive"), pytest.param(False, id="closed")]
 )
-async def test_closing_does_not_truncate_a_response_that_is_read_slowly(keep_alive, monkeypatch):
+async def test_closing_does_not_truncate_a_response_that_is_read_slowly(
+    keep_alive, backend, proxy, monkeypatch
+):
     monkeypatch.setattr("loadbalancer.http.request_timeouts.LINGER_TIMEOUT_S", 0.0)
-    async with (
-        running_proxy(LoopbackServer(always(reply(200, LARGE_BODY)))) as proxy,
-        slow_reader(proxy) as (client, connection),
-    ):
+    backend.script = always(reply(200, LARGE_BODY))
+    async with slow_reader(proxy) as (client, connection):
         client.sendall(request("post", Connection="keep-alive" if keep_alive else "close"))
         await until(lambda: proxy.statistics.responses[200])
         assert connection.unsent_bytes
--- a/tests/proxy/test_policy_events.py
+++ b/tests/proxy/test_policy_events.py
@@ -10,24 +10,25 @@
 from loadbalancer.events import AttemptOutcome, ClientDisconnected, IncomingRequest, TimerFired
 from loadbalancer.policy.policy import PERIOD_TIMER
 from loadbalancer.proxy import policy_runner
-from tests.support.loopback import LoopbackServer, StalledBackend, always, running_proxy, send_request, until
+from tests.support.loopback import StalledBackend, always, running_proxy, send_request, until
 from tests.support.messages import reply, request
 from tests.support.scripted_policy import script_policy
 
 
 @pytest.mark.parametrize("kind", [IncomingRequest, AttemptOutcome])
-async def test_request_gets_a_response_after_a_policy_fault(kind):
+async def test_request_gets_a_response_after_a_policy_fault(kind, backend, proxy):
+    backend.script = always(reply(500))
+
     def act(event):
         if isinstance(event, kind):
             raise RuntimeError("broken")
         return [Send(event.request_id, "s0")] if isinstance(event, IncomingRequest) else []
 
-    async with running_proxy(LoopbackServer(always(reply(500)))) as proxy:
-        scripted = script_policy(proxy, act)
-        assert (await send_request(proxy, request())).status == 500
-        assert scripted.events_of(ClientDisconnected)
-        assert not proxy.requests.by_id
-        assert proxy.listener.ready
+    scripted = script_policy(proxy, act)
+    assert (await send_request(proxy, request())).status == 500
+    assert scripted.events_of(ClientDisconnected)
+    assert not proxy.requests.by_id
+    assert proxy.listener.ready
 
 
 async def test_policy_fault_on_a_timer_does_not_stop_the_timer(monkeypatch, proxy):
--- a/tests/proxy/test_request_parsing.py
+++ b/tests/proxy/test_request_parsing.py
@@ -10,7 +10,6 @@
 from loadbalancer.events import IncomingRequest
 from tests.support.loopback import (
     HttpClient,
-    LoopbackServer,
     StalledBackend,
     running_proxy,
     send_request,
@@ -20,20 +19,19 @@
 from tests.support.scripted_policy import acting_on, script_policy
 
 
-async def test_headers_become_the_fields_of_the_incoming_request():
-    async with running_proxy(LoopbackServer()) as proxy:
-        scripted = script_policy(proxy, acting_on(lambda event: [Reject(event.request_id, 250.0)]))
-        before = proxy.clock.now_ms()
-        response = await send_request(
-            proxy,
-            request(Req_Owner="acme", Req_Retry="1", Req_Cost="1500", Req_Deadline_Ms="5000"),
-        )
-        assert (response.status, response.headers["retry-after"]) == (503, "0.250")
-        incoming = scripted.events_of(IncomingRequest)[0]
-        fields = (incoming.service_class, incoming.tenant, incoming.is_retry, incoming.cost_hint_ms)
-        assert fields == ("read", "acme", True, 1.5)
-        assert incoming.deadline_ms < proxy.clock.now_ms() + 5000  # the response margin is subtracted
-        assert incoming.deadline_ms > before + 4900
+async def test_headers_become_the_fields_of_the_incoming_request(proxy):
+    scripted = script_policy(proxy, acting_on(lambda event: [Reject(event.request_id, 250.0)]))
+    before = proxy.clock.now_ms()
+    response = await send_request(
+        proxy,
+        request(Req_Owner="acme", Req_Retry="1", Req_Cost="1500", Req_Deadline_Ms="5000"),
+    )
+    assert (response.status, response.headers["retry-after"]) == (503, "0.250")
+    incoming = scripted.events_of(IncomingRequest)[0]
+    fields = (incoming.service_class, incoming.tenant, incoming.is_retry, incoming.cost_hint_ms)
+    assert fields == ("read", "acme", True, 1.5)
+    assert incoming.deadline_ms < proxy.clock.now_ms() + 5000  # the response margin is subtracted
+    assert incoming.deadline_ms > before + 4900
 
 
 CHUNKED = b"POST /post/1 HTTP/1.1\r\nReq-Id: q2\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -61,20 +59,17 @@
         pytest.param(CHUNKED + b"10001\r\n" + TOO_LONG + b"\r\n0\r\n\r\n", 413, id="chunked over 64 KiB"),
     ],
 )
-async def test_bad_request_gets_an_error_and_never_reaches_the_policy(data, status):
-    async with running_proxy(LoopbackServer()) as proxy:
-        scripted = script_policy(proxy)
-        assert (await send_request(proxy, data)).status == status
-        assert not scripted.events_of(IncomingRequest)
-        assert not proxy.requests.by_id
+async def test_bad_request_gets_an_error_and_never_reaches_the_policy(data, status, proxy):
+    scripted = script_policy(proxy)
+    assert (await send_request(proxy, data)).status == status
+    assert not scripted.events_of(IncomingRequest)
+    assert not proxy.requests.by_id
 
 
-async def test_body_of_64_kib_passes_with_a_length_and_chunked():
-    server = LoopbackServer()
-    async with running_proxy(server) as proxy:
-        assert (await send_request(proxy, request("post", "q1", b"x" * 65536))).status == 200
-        assert (await send_request(proxy, CHUNKED + b"3\r\nabc\r\n0\r\n\r\n")).status == 200
-        assert [len(message.body) for message in server.seen] == [65536, 3]
+async def test_body_of_64_kib_passes_with_a_length_and_chunked(backend, proxy):
+    assert (await send_request(proxy, request("post", "q1", b"x" * 65536))).status == 200
+    assert (await send_request(proxy, CHUNKED + b"3\r\nabc\r\n0\r\n\r\n")).status == 200
+    assert [len(message.body) for message in backend.seen] == [65536, 3]
 
 
 async def test_request_id_that_is_pending_is_not_sent_twice():
@@ -88,12 +83,9 @@
         assert len(server.seen) == 1
 
 
-async def test_pipelined_requests_get_their_responses_in_order():
-    async with running_proxy(
-        LoopbackServer(lambda message: asyncio.sleep(0, reply(200, message.body)))
-    ) as proxy:
-        client = await HttpClient.to(proxy)
-        client.writer.write(b"".join(request("post", f"q{at}", b"%d" % at) for at in range(5)))
-        assert [(await client.read_response()).body for _ in range(5)] == [b"0", b"1", b"2", b"3", b"4"]
-        assert (await client.send(request("post", "q9", b"9"))).body == b"9"
-        client.writer.close()
+async def test_pipelined_requests_get_their_responses_in_order(backend, proxy):
+    backend.script = lambda message: asyncio.sleep(0, reply(200, message.body))
+    client = await HttpClient.to(proxy)
+    client.writer.write(b"".join(request("post", f"q{at}", b"%d" % at) for at in range(5)))
+    assert [(await client.read_response()).body for _ in range(5)] == [b"0", b"1", b"2", b"3", b"4"]
+    assert (await client.send(request("post", "q9", b"9"))).body == b"9"
