--- a/tests/http/test_client_connection.py
+++ b/tests/http/test_client_connection.py
@@ -9,8 +9,8 @@
 import pytest
 
 from loadbalancer.events import AttemptResult
-from loadbalancer.http.addresses import Address
-from tests.support.loopback import LoopbackServer, read_message, reply
+from tests.support.loopback import LoopbackServer
+from tests.support.messages import read_message, reply
 from tests.support.proxy import attempt_result, make_pool
 
 POST = b"POST /post/1 HTTP/1.1\r\nReq-Id: q\r\nContent-Length: 0\r\n\r\n"
@@ -37,7 +37,7 @@
     """One attempt's result and the number of connections pooled after it."""
     async with EndlessBackend(response, more) as server:
         with contextlib.closing(make_pool()) as pool:
-            pool.add("s", Address("127.0.0.1", server.port))
+            pool.add("s", server.address)
             result = await attempt_result(pool, data=POST)
             await asyncio.sleep(0)
             return result, pool.size
--- a/tests/proxy/test_attempt_races.py
+++ b/tests/proxy/test_attempt_races.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from loadbalancer.events import AttemptOutcome, AttemptResult, ClientDisconnected
-from loadbalancer.http.addresses import Address
+from loadbalancer.events import AttemptResult, ClientDisconnected
+from loadbalancer.http.addresses import Address, socket_address
 from loadbalancer.http.client_connection import ClientConnection
 from loadbalancer.http.server_connection import ServerConnection
 from loadbalancer.proxy.proxy import Proxy
@@ -100,8 +100,7 @@
         await until(lambda: scripted.events_of(ClientDisconnected))
         gated.gate.set()
         await until(lambda: not proxy.pool._connecting)
-        results = [event.result for event in scripted.events_of(AttemptOutcome)]
-        assert results == [AttemptResult.REJECTED, AttemptResult.NOT_SENT]
+        assert scripted.attempt_results == [AttemptResult.REJECTED, AttemptResult.NOT_SENT]
         assert other.seen == []
         assert not proxy.requests.by_id
 
@@ -153,7 +152,7 @@
         assert not attempt.sent
         client.writer.close()
         await until(lambda: scripted.events_of(ClientDisconnected))
-        assert [event.result for event in scripted.events_of(AttemptOutcome)] == [AttemptResult.NOT_SENT]
+        assert scripted.attempt_results == [AttemptResult.NOT_SENT]
         reader, _ = server.links[0]
         assert b"left" not in await reader.read()
 
@@ -181,7 +180,7 @@
 async def test_cancelled_attempt_has_ended_before_the_next_one_is_sent():
     """In the same turn of the loop, in which asyncio has not closed the first one's socket yet."""
     with socket.create_server(("127.0.0.1", 0)) as server, contextlib.closing(make_pool()) as pool:
-        pool.add("s", Address(*server.getsockname()))
+        pool.add("s", socket_address(server))
         attempt = start_attempt(pool, "s", lambda *_: None, request(), 60.0)
         await until(lambda: attempt.sent)
         accepted, _ = server.accept()
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -9,33 +9,10 @@
 from typing import Any, Self
 from weakref import WeakKeyDictionary
 
+from loadbalancer.http.addresses import Address
 from loadbalancer.proxy.proxy import Proxy
-from tests.support.messages import Message, endpoint_list_response, read_message, reply, request, targets
-from tests.support.proxy_config import config, config_document
-from tests.support.scripted_policy import ScriptedPolicy
-
-# Names of the sibling modules that tests import from here.
-__all__ = [
-    "HttpClient",
-    "LoopbackServer",
-    "Message",
-    "Script",
-    "ScriptedDiscovery",
-    "ScriptedPolicy",
-    "StalledBackend",
-    "always",
-    "close_writer",
-    "config",
-    "config_document",
-    "endpoint_list_response",
-    "read_message",
-    "reply",
-    "request",
-    "running_proxy",
-    "send_request",
-    "targets",
-    "until",
-]
+from tests.support.messages import Message, read_message, reply, targets
+from tests.support.proxy_config import config
 
 WAIT_LIMIT_S = 20.0  # below the time-out of a test, so that the failure shows which condition stayed false
 POLL_INTERVAL_S = 0.005
@@ -89,6 +66,11 @@
     async def __aexit__(self, *_error: object) -> None:
         await self.aclose()
 
+    @property
+    def address(self) -> Address:
+        """Where it listens."""
+        return Address("127.0.0.1", self.port)
+
     @property
     def endpoint(self) -> str:
         """The address as endpoint lists have it."""
