--- a/tests/benchmarks/test_profiled_proxy.py
+++ b/tests/benchmarks/test_profiled_proxy.py
@@ -9,7 +9,8 @@
 import orjson
 import pytest
 
-from benchmarks.call_profile.profiled_proxy import PROGRAM_FOLDER, STAGES, Sampler
+from benchmarks.call_profile.profiled_proxy import Sampler
+from benchmarks.call_profile.stages import PROGRAM_FOLDER, STAGES
 from benchmarks.support.processes import ROOT
 from tests.support.builders import PolicyHarness
 
@@ -32,7 +33,8 @@
     sys.setprofile(None)
 
 
-def test_sample_in_a_library_counts_for_the_stage_of_its_caller_in_the_proxy(sampler, sample_at_choices):
+@pytest.mark.usefixtures("sample_at_choices")
+def test_sample_in_a_library_counts_for_the_stage_of_its_caller_in_the_proxy(sampler):
     PolicyHarness(endpoint_count=8).submit()
     assert sampler.stages == {"policy: selection": 1}
 
--- a/tests/discovery_server/test_update_pipeline.py
+++ b/tests/discovery_server/test_update_pipeline.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from http import HTTPStatus
+
 import orjson
 import pytest
 
@@ -18,7 +20,6 @@
     address_of,
     discovery_server,
     list_response,
-    ready,
 )
 from tests.discovery_server.model import LIST_NAME, MAX_LOG_ENTRIES, ModelNode, ModelServer
 from tests.discovery_server.model_environment import ModelCluster
@@ -167,8 +168,7 @@
 
 
 async def test_client_beyond_the_lead_is_rejected_with_503_and_served_after_the_write(tmp_path):
-    registry = await Registry(**ready("a")).start()
-    async with discovery_server(tmp_path, registry.endpoint) as server:
+    async with Registry("a") as registry, discovery_server(tmp_path, registry.endpoint) as server:
         await until(lambda: server.ready)
         client = await Client.connect(address_of(server))
         client_revision = (await client.get_list()).revision + (BEYOND_LEAD_TICKS << TAG_BITS) + OTHER_TAG
@@ -176,12 +176,11 @@
         rejection = await client.read()
         assert (rejection.status, rejection.headers["retry-after"]) == (503, "1.000")
         response = rejection
-        while response.status == 503:
+        while response.status == HTTPStatus.SERVICE_UNAVAILABLE:
             client.send_watch(client_revision)
             response = await client.read()
         served = list_response(response)
-        assert served == await client.get_list()
-        assert served.revision > client_revision
+        assert served == (await client.get_list())
         assert (served.complete, served.uids) == (True, ["a"])
-        client.writer.close()
-    registry.stop()
+        assert served.revision > client_revision
+        await client.aclose()
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -37,7 +37,7 @@
     "until",
 ]
 
-WAIT_LIMIT_S = 20.0
+WAIT_LIMIT_S = 20.0  # below the time-out of a test, so that the failure shows which condition stayed false
 POLL_INTERVAL_S = 0.005
 
 
@@ -135,9 +135,9 @@
     async def aclose(self) -> None:
         """Close the listening socket and all connections, and wait until they are closed."""
         self.stop()
-        await asyncio.gather(*self._tasks)
         for writer in self._writers:
             await close_writer(writer)
+        await asyncio.gather(*self._tasks)  # raises what a script has raised meanwhile
 
 
 class StalledBackend(LoopbackServer):
