--- a/tests/discovery_server/test_update_pipeline.py
+++ b/tests/discovery_server/test_update_pipeline.py
@@ -30,17 +30,17 @@
 
 
 @pytest.fixture
-def cluster():
-    cluster = ModelCluster()
-    yield cluster
-    cluster.close()
+def model_cluster():
+    model_cluster = ModelCluster()
+    yield model_cluster
+    model_cluster.close()
 
 
 @pytest.fixture
-def server(cluster):
+def server(model_cluster):
     """A server that has just received and stored its first list."""
-    cluster.registry.set("a", "Ready")
-    server = ModelServer(cluster, "server", 0, [cluster.registry])
+    model_cluster.registry.set("a", "Ready")
+    server = ModelServer(model_cluster, "server", 0, [model_cluster.registry])
     server.poll_upstream_and_run()
     return server
 
@@ -154,8 +154,10 @@
     assert not server.cluster.faults
 
 
-def test_watch_from_before_the_change_log_is_notified_when_revisions_advance_for_clients(cluster, server):
-    node = ModelNode(cluster, server)
+def test_watch_from_before_the_change_log_is_notified_when_revisions_advance_for_clients(
+    model_cluster, server
+):
+    node = ModelNode(model_cluster, server)
     node.request()
     node.request()
     revision = node.revision
