--- a/benchmarks/longest_turn/worst_inputs.py
+++ b/benchmarks/longest_turn/worst_inputs.py
@@ -18,7 +18,7 @@
 from benchmarks.support.membership import EndpointEntry
 from loadbalancer.discovery.watch_client import MAX_ENDPOINT_LIST_BYTES
 from loadbalancer.http.addresses import Address
-from loadbalancer.http.limits import MAX_BODY_BYTES
+from loadbalancer.http.message_sizes import MAX_BODY_BYTES
 
 FLOOD_S = 3.0
 MIN_READ_S = 0.1  # for which a flooding connection reads, even at the end of the flood
--- a/loadbalancer/http/client_connection.py
+++ b/loadbalancer/http/client_connection.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from loadbalancer.http.limits import MAX_BODY_BYTES
+from loadbalancer.http.message_sizes import MAX_BODY_BYTES
 from loadbalancer.http.response_parser import HttpResponse, ResponseParser
 from loadbalancer.http.socket_state import has_unread_data
 
--- a/loadbalancer/http/limits.py
+++ b/loadbalancer/http/message_sizes.py
@@ -1,4 +1,4 @@
-"""Size limits that both directions share, in bytes."""
+"""The largest sizes of HTTP messages that are parsed, for requests and responses alike, in bytes."""
 
 from __future__ import annotations
 
--- a/loadbalancer/http/request_parser.py
+++ b/loadbalancer/http/request_parser.py
@@ -9,7 +9,7 @@
 
 import httptools
 
-from loadbalancer.http.limits import MAX_BODY_BYTES, MAX_HEAD_BYTES
+from loadbalancer.http.message_sizes import MAX_BODY_BYTES, MAX_HEAD_BYTES
 from loadbalancer.http.request import HttpRequest
 
 MAX_PIPELINED_REQUESTS = 32  # complete requests that may wait on one connection
--- a/loadbalancer/http/response_parser.py
+++ b/loadbalancer/http/response_parser.py
@@ -7,7 +7,7 @@
 
 import httptools
 
-from loadbalancer.http.limits import MAX_HEAD_BYTES
+from loadbalancer.http.message_sizes import MAX_HEAD_BYTES
 
 FIRST_FINAL_STATUS = int(HTTPStatus.OK)  # responses with a lower one are interim
 
--- a/tests/proxy/test_event_loop_turns.py
+++ b/tests/proxy/test_event_loop_turns.py
@@ -12,7 +12,7 @@
 from loadbalancer.discovery.watch_client import MAX_ENDPOINT_LIST_BYTES
 from loadbalancer.events import UpdateKind
 from loadbalancer.http.client_connection import ClientConnection, HttpResponse
-from loadbalancer.http.limits import MAX_HEAD_BYTES
+from loadbalancer.http.message_sizes import MAX_HEAD_BYTES
 from loadbalancer.http.server_connection import ServerConnection
 from loadbalancer.proxy.membership import Membership
 from loadbalancer.proxy.proxy import Proxy
--- a/tests/proxy/test_start.py
+++ b/tests/proxy/test_start.py
@@ -24,9 +24,9 @@
     "loadbalancer": {"__main__", "actions", "events", "platform_settings", "settings"},
     "loadbalancer.discovery": {"endpoint_list", "watch_client", "watch_timing"},
     "loadbalancer.http": {
-        *("addresses", "client_connection", "connection_registry", "eviction", "limits", "listener"),
-        *("listening_sockets", "request", "request_parser", "request_timeouts", "response_head"),
-        *("response_parser", "server_connection"),
+        *("addresses", "client_connection", "connection_registry", "eviction", "listener"),
+        *("listening_sockets", "message_sizes", "request", "request_parser", "request_timeouts"),
+        *("response_head", "response_parser", "server_connection"),
         "socket_state",
     },
     "loadbalancer.policy": {
