--- a/loadbalancer/discovery_server/revisions.py
+++ b/loadbalancer/discovery_server/revisions.py
@@ -1,13 +1,17 @@
-"""The revisions of an endpoint list: they never go back, and each belongs to one state. No I/O.
+"""The revisions of an endpoint list: none goes back for a client, and each belongs to one state. No I/O.
 
 A revision is a number below 2**53: a count in its high bits and the server's tag in the low ones. The count
 rises with each change set and never lags the wall clock, in ticks of 10 ms. The tag keeps the revisions of
 two servers apart, so that a server recognises a client that comes from another one.
 
+The list's own revision goes back if a process restarts from an old snapshot. A client that holds a later one
+then gets the list under a new revision above its own.
+
 Each process begins ahead of the wall clock by a lead of at least one minute. While a list takes fewer than
 100 change sets a second, all revisions of a process are therefore below those of the next one, even if the
-disk is lost. A client may hold a revision of another server that is further ahead than the lead. A revision
-above it is used only once the snapshots on the disk state a longer lead, with which the next process begins.
+disk is lost. A client may hold a revision of another server that is further ahead than the lead. For such a
+client, a revision further ahead than the lead is issued only once both snapshots state a longer lead, with
+which the next process begins.
 """
 
 from __future__ import annotations
--- a/loadbalancer/discovery_server/server.py
+++ b/loadbalancer/discovery_server/server.py
@@ -96,7 +96,11 @@
         self._maintenance.start()
 
     async def stop(self) -> None:
-        """Shut down gracefully: respond to all watches, and write the lists that clients have received."""
+        """Shut down gracefully: write the lists that clients have received, and respond to all watches.
+
+        The lists are drained one after the other. Each waits for its queued updates and its writes, which
+        takes seconds if the disk is slow or fails. The total grows with the number of lists and has no bound.
+        """
         for served in self._lists:
             served.follower.close()
         for served in self._lists:
--- a/loadbalancer/discovery_server/unread_responses.py
+++ b/loadbalancer/discovery_server/unread_responses.py
@@ -1,4 +1,8 @@
-"""Limits the bytes of responses that clients have not read, and disconnects clients that don't read."""
+"""Limits the bytes of responses that clients have not read, and disconnects clients that don't read.
+
+Unread and unsent mean one thing here: bytes that the kernel has not accepted yet. A response is unread while
+it has unsent bytes. What the kernel has accepted counts as read, whether or not the client has read it.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +17,7 @@
 
 
 class BufferedConnection(Protocol):
-    """A connection that buffers what its client has not read."""
+    """A connection that buffers the bytes that the kernel has not accepted yet."""
 
     @property
     def is_open(self) -> bool:
@@ -28,7 +32,7 @@
 
 
 class UnreadResponses:
-    """Tracks the connections that have a partly unsent response. Must be created within a running event loop.
+    """Tracks the connections that have an unread response. Must be created within a running event loop.
 
     Attributes:
         dropped_clients: Clients disconnected since the start because they did not read.
@@ -40,7 +44,7 @@
         self._loop = asyncio.get_running_loop()
         self._max_unsent_bytes = max_unsent_bytes
         self._unread_timeout_s = unread_timeout_ms / 1000.0
-        # The loop's time in seconds since when each connection's response is partly unsent, oldest first.
+        # The loop's time in seconds since when each connection's response is unread, oldest first.
         self._unsent_since: dict[BufferedConnection, float] = {}
         # An upper bound: bytes that have been sent since the last check are still counted.
         self._unsent_bytes = 0
@@ -49,7 +53,7 @@
 
     @property
     def connection_count(self) -> int:
-        """The number of connections that had a partly unsent response at the last check, or since."""
+        """The number of connections that had an unread response at the last check, or since."""
         return len(self._unsent_since)
 
     @property
--- a/loadbalancer/http/connection_registry.py
+++ b/loadbalancer/http/connection_registry.py
@@ -60,7 +60,7 @@
         clock: Returns the event loop's time in seconds.
         connections: All open connections.
         awaiting_request: The phase before the first request, and while a request is partly received.
-        idle: The phase between two requests of an identified client.
+        idle: The phase between two requests of an identified client, which had a response other than 4xx.
         lingering: The phase after the last response, in which what the client still sends is dropped.
     """
 
--- a/loadbalancer/http/eviction.py
+++ b/loadbalancer/http/eviction.py
@@ -41,7 +41,7 @@
 
 
 def _evict_unidentified(registry: ConnectionRegistry) -> bool:
-    """Close the connection of a client that has not sent a valid request."""
+    """Close the connection of a client that has had no response other than 4xx on it."""
     # Guard: identified clients that write slowly come first in this phase, and a few of them would use up the
     # examined candidates. They are filtered out before the candidates are counted.
     unidentified = (
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -40,7 +40,7 @@
         return started_ms is None or now_ms - started_ms >= self._ramp_ms
 
     def current_capacity(self, now_ms: float, endpoint: TrackedEndpoint) -> float:
-        """The capacity that the endpoint has now at minimum; it rises linearly during slow start."""
+        """A lower bound of the capacity that the endpoint has now; it rises linearly during slow start."""
         started_ms = endpoint.listed.started_ms
         if started_ms is None or now_ms - started_ms >= self._ramp_ms:
             return endpoint.full_capacity
@@ -69,7 +69,9 @@
             return sampled
         pool_capacity, min_capacity = self._pool_capacities(now_ms)
         if pool_capacity >= min_capacity or self._usual_rate <= 0.0:
-            # Shares of a capacity below the minimum would flood a pool that is all warming up.
+            # Guard: an endpoint's share is its capacity over the pool's. While a whole pool is warming up,
+            # the shares add up to all attempts, which the pool can't bear yet. The pool therefore counts with
+            # at least the minimum capacity. Trade-off: attempts are held back that the pool could bear.
             pool_capacity = max(pool_capacity, min_capacity)
         else:
             # An attempt over the usual rate sees a larger pool, so that its chance is lower.
--- a/loadbalancer/policy/tenant_quota.py
+++ b/loadbalancer/policy/tenant_quota.py
@@ -1,4 +1,4 @@
-"""Tenants' quotas, as token buckets."""
+"""Tenants' quotas, as token buckets: each replica has the quota divided by the number of replicas."""
 
 from __future__ import annotations
 
@@ -6,7 +6,10 @@
 
 
 class TenantQuota:
-    """A token bucket that holds one second of a tenant's quota at this replica."""
+    """A token bucket of one tenant at this replica; a request takes one token.
+
+    It is filled at the tenant's quota divided by the number of replicas, and holds one second of that.
+    """
 
     def __init__(self, quota_per_s: float, now_ms: float) -> None:
         self._quota_per_s = quota_per_s
@@ -25,7 +28,7 @@
 
 
 def quotas_by_tenant(settings: Settings, now_ms: float) -> dict[str, TenantQuota]:
-    """The quotas of all tenants that have one; quotas apply only at the tier that clients reach."""
+    """A full bucket for each tenant that has a quota; none unless this is the tier that clients reach."""
     if settings.tier != 0:
         return {}
     return {
--- a/loadbalancer/proxy/config.py
+++ b/loadbalancer/proxy/config.py
@@ -22,7 +22,8 @@
 RESERVED_DESCRIPTORS = 16  # file descriptors for the listener, discovery, standard streams and the event loop
 MIN_USABLE_DESCRIPTORS = 16
 DOWNSTREAM_FRACTION = 0.58  # of the other descriptors, for clients' connections, including lingering ones
-# For endpoints' connections; the remainder holds the accepts of six turns, see `EXCESS_ACCEPT_BATCHES`.
+# Of the same, for connections to endpoints. The remaining 7% are about six accept batches, see
+# `ACCEPT_BATCH_DIVISOR`; a burst has up to five of them open in addition to both shares.
 UPSTREAM_FRACTION = 0.35
 
 Number = TypeVar("Number", int, float)
--- a/loadbalancer/proxy/graceful_shutdown.py
+++ b/loadbalancer/proxy/graceful_shutdown.py
@@ -6,16 +6,23 @@
 
 from loadbalancer.proxy.proxy import Proxy
 
-ACCEPT_GRACE_S = 0.6  # new connections still arrive for up to 0.4 s after SIGTERM
-MAX_CLIENT_TIMEOUT_S = 3.0  # the longest client time-out that the shutdown waits for
-EXIT_MARGIN_S = 0.6  # after the longest deadline; SIGKILL comes no earlier than 0.7 s after it
-CLOSING_PHASE_S = 1.2  # the last part of that time: each response then closes its connection
-LINGER_S = 0.05  # after the end, for clients to read their last responses
+ACCEPT_GRACE_S = 0.6  # from SIGTERM; new connections still arrive for up to 0.4 s after it
+MAX_CLIENT_TIMEOUT_S = 3.0  # a cap: the shutdown does not wait for longer client time-outs
+EXIT_MARGIN_S = 0.6  # after the longest client time-out; SIGKILL comes no earlier than 0.7 s after it
+# Before the open requests are ended: no connection is accepted any more, and each response closes its own.
+# Shorter if the grace period ends later.
+CLOSING_PHASE_S = 1.2
+LINGER_S = 0.05  # after the open requests are ended, for clients to read their last responses
 POLL_INTERVAL_S = 0.01
 
 
 async def shut_down(proxy: Proxy) -> None:
-    """Serve requests that still arrive, finish those in flight, and close the proxy in time."""
+    """Serve requests that still arrive, finish those in flight, and close the proxy in time.
+
+    It ends the requests that are still open after the longest client time-out of the settings, of at most
+    `MAX_CLIENT_TIMEOUT_S`, and `EXIT_MARGIN_S`, and closes all connections `LINGER_S` later. The total is at
+    most 3.65 s plus the delays of the event loop, and less once no client is connected.
+    """
     loop = asyncio.get_running_loop()
     client_timeout_s = min(_longest_client_timeout_s(proxy), MAX_CLIENT_TIMEOUT_S)
     end_at_s = loop.time() + client_timeout_s + EXIT_MARGIN_S
