--- a/tests/discovery_server/builders.py
+++ b/tests/discovery_server/builders.py
@@ -76,10 +76,14 @@
     return found
 
 
-def decoded(body: bytes | None) -> Response | None:
+def decoded_or_none(body: bytes | None) -> Response | None:
     """A response body; None if there is none."""
-    if body is None:
-        return None
+    return None if body is None else decoded(body)
+
+
+def decoded(body: bytes | None) -> Response:
+    """A response body, which must be there."""
+    assert body is not None
     document = orjson.loads(body)
     parse_upstream_list(document)  # nodes and followers must be able to read it
     states = {target["uid"]: target["state"] for target in document["targets"]}
--- a/tests/discovery_server/model_environment.py
+++ b/tests/discovery_server/model_environment.py
@@ -4,7 +4,9 @@
 
 import asyncio
 import tempfile
+from collections.abc import Callable
 from concurrent.futures import Executor, Future
+from typing import ParamSpec, TypeVar
 
 import orjson
 import structlog
@@ -12,6 +14,9 @@
 from loadbalancer.discovery_server.revisions import EPOCH_MS
 from tests.support.model_time import ModelLoop
 
+Parameters = ParamSpec("Parameters")
+Result = TypeVar("Result")
+
 
 class ModelDisk(Executor):
     """Writes at once; while it is slow, writes wait for `run_pending`; while it is full, they fail."""
@@ -20,21 +25,22 @@
         self.slow = self.full = False
         self.pending = []
 
-    def submit(self, fn, /, *args):
-        future = Future()
-        self.pending.append((future, fn, args))
+    def submit(
+        self, fn: Callable[Parameters, Result], /, *args: Parameters.args, **kwargs: Parameters.kwargs
+    ) -> Future[Result]:
+        future: Future[Result] = Future()
+        self.pending.append((future, fn, args, kwargs))
         if not self.slow:
             self.run_pending()
         return future
 
     def run_pending(self):
         pending, self.pending = self.pending, []
-        for future, fn, args in pending:
+        for future, fn, args, kwargs in pending:
             if self.full:
                 future.set_exception(OSError(28, "No space left on device"))
             else:
-                fn(*args)
-                future.set_result(None)
+                future.set_result(fn(*args, **kwargs))
 
 
 class ModelRegistry:
--- a/tests/discovery_server/model_rules.py
+++ b/tests/discovery_server/model_rules.py
@@ -144,7 +144,18 @@
             except ConnectionError:
                 target.rejected_revisions.append(revision)
                 if not target.disk.slow:
-                    self.disk_continues(server, full=False)
+                    self.continue_disk(server, full=False)
+
+    def continue_disk(self, server, full):
+        """Let the pending writes of a server's disk fail or succeed, and the disk work from then on."""
+        disk = self.servers[server].disk
+        disk.full = full
+        disk.run_pending()
+        disk.slow = False
+        self.cluster.run()
+        disk.full = False
+        if self.servers[server].alive and not full:
+            self.check_rejected_clients_are_served(server)
 
     def check_rejected_clients_are_served(self, server):
         """Check that each one is served at its second request at the latest; the first may start a write."""
@@ -172,14 +183,7 @@
 
     @rule(server=SERVERS, full=st.booleans())
     def disk_continues(self, server, full):
-        disk = self.servers[server].disk
-        disk.full = full
-        disk.run_pending()
-        disk.slow = False
-        self.cluster.run()
-        disk.full = False
-        if self.servers[server].alive and not full:
-            self.check_rejected_clients_are_served(server)
+        self.continue_disk(server, full)
 
     @rule(
         server=SERVERS,
--- a/tests/discovery_server/test_endpoint_store.py
+++ b/tests/discovery_server/test_endpoint_store.py
@@ -10,6 +10,7 @@
     NOW_MS,
     apply,
     decoded,
+    decoded_or_none,
     empty_store,
     entry,
     restored,
@@ -36,7 +37,7 @@
         0: (third, True, complete),
         -1: (third, True, complete),
     }
-    assert {revision: decoded(store.responses.since(revision)) for revision in cases} == cases
+    assert {revision: decoded_or_none(store.responses.since(revision)) for revision in cases} == cases
     assert decoded(store.responses.unchanged()) == (third, False, {})
 
 
@@ -74,8 +75,8 @@
     assert complete == sorted(complete, reverse=True)
     assert 2 <= complete.count(False) <= 8
     again = restored(store.snapshot(), **limits)
-    assert [decoded(again.responses.since(revision)) for revision in revisions] == [
-        decoded(store.responses.since(revision)) for revision in revisions
+    assert [decoded_or_none(again.responses.since(revision)) for revision in revisions] == [
+        decoded_or_none(store.responses.since(revision)) for revision in revisions
     ]
 
 
--- a/tests/discovery_server/test_server_model.py
+++ b/tests/discovery_server/test_server_model.py
@@ -5,11 +5,12 @@
 
 from __future__ import annotations
 
+import os
+
 import pytest
 from hypothesis import HealthCheck, seed, settings
 from hypothesis.stateful import run_state_machine_as_test
 
-from loadbalancer.discovery_server import snapshot_store
 from tests.discovery_server.model_rules import DiskRules, RegistryRules, ServerRules
 
 SEEDS = range(1, 7)
@@ -23,7 +24,7 @@
 
 @pytest.mark.parametrize("model_seed", [pytest.param(number, id=f"seed-{number}") for number in SEEDS])
 def test_every_change_reaches_every_watch_exactly_once_and_in_order(monkeypatch, model_seed):
-    monkeypatch.setattr(snapshot_store.os, "fsync", lambda _: None)
+    monkeypatch.setattr(os, "fsync", lambda _: None)
     play(model_seed, RUNS_PER_SEED)
 
 
--- a/tests/discovery_server/test_snapshot_store.py
+++ b/tests/discovery_server/test_snapshot_store.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import os
 from pathlib import Path
 
 import pytest
@@ -117,7 +118,7 @@
     def full(_):
         raise OSError(28, "No space left on device")
 
-    monkeypatch.setattr(snapshot_store.os, "fsync", full)
+    monkeypatch.setattr(os, "fsync", full)
     with pytest.raises(OSError, match="No space"):
         store.write(two)
     monkeypatch.undo()
--- a/tests/policy/test_discovery_backoff.py
+++ b/tests/policy/test_discovery_backoff.py
@@ -18,9 +18,9 @@
     harness = PolicyHarness(endpoint_count=0, polls_discovery=True)
     delays_ms = []
     for _ in range(6):
-        actions = harness.handle(MembershipUpdate(UpdateKind.UNAVAILABLE))
-        assert types(actions) == [StartTimer]
-        delays_ms.append(actions[0].delay_ms)
+        (timer,) = harness.handle(MembershipUpdate(UpdateKind.UNAVAILABLE))
+        assert isinstance(timer, StartTimer)
+        delays_ms.append(timer.delay_ms)
         assert types(harness.handle(TimerFired(WATCH_TIMER))) == [StartWatch]
     assert delays_ms[0] <= 500.0
     assert 2000.0 <= delays_ms[-1] <= 4000.0
--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -78,6 +78,7 @@
             node.func.attr in LOG_METHODS
             and re.search(r"log(ger)?$", logger)
             and isinstance(text, ast.Constant)
+            and isinstance(text.value, str)
         ):
             yield re.split(r" \w+=|: %|%", text.value)[0].strip()
 
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -40,6 +40,7 @@
 
 def logged_port(process: subprocess.Popen[str], event: str) -> int:
     """The port in the log line of this event, which says that the program listens."""
+    assert process.stderr is not None
     for line in process.stderr:
         if event in line:
             return int(re.findall(r"127\.0\.0\.1:(\d+)", line)[0])
