--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -14,6 +14,8 @@
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
 MAX_KNOWN_RED = 3
 
+pytest_plugins = ["tests.support.proxy_fixtures"]
+
 
 def known_red() -> dict[str, str]:
     """The listed tests' ids and causes; empty without the file."""
--- a/tests/proxy/test_attempt_races.py
+++ b/tests/proxy/test_attempt_races.py
@@ -14,6 +14,7 @@
 from loadbalancer.http.server_connection import ServerConnection
 from loadbalancer.proxy.proxy import Proxy
 from tests.support.builders import allow_only
+from tests.support.disconnects import CAN_CANCEL
 from tests.support.loopback import (
     HttpClient,
     LoopbackServer,
@@ -24,16 +25,17 @@
     until,
 )
 from tests.support.messages import read_message, reply, request
-from tests.support.model_time import AdjustableClock
-from tests.support.proxy import GatedConnects, ManualServer, make_pool, policy_sending_to, start_attempt
+from tests.support.proxy import (
+    GatedConnects,
+    ManualServer,
+    make_pool,
+    policy_sending_to,
+    start_attempt,
+)
 from tests.support.scripted_policy import script_policy
 
 DEDUPLICATION_WINDOW_S = 10.0
 
-CAN_CANCEL = pytest.mark.parametrize(
-    "can_cancel", [pytest.param(True, id="can cancel"), pytest.param(False, id="cannot cancel")]
-)
-
 
 async def test_late_second_response_is_not_served_to_the_next_request(monkeypatch):
     """The proxy writes the next request while a second response to the one before is under way."""
@@ -190,12 +192,11 @@
             assert accepted.recv(1) == b""  # the event loop has had no turn
 
 
-async def test_keyed_retry_that_connects_after_the_deduplication_window_is_not_sent():
+async def test_keyed_retry_that_connects_after_the_deduplication_window_is_not_sent(clock):
     async def fail(_message):
         allow_only(proxy.policy.endpoints, "s1")
         return reply(500)
 
-    clock = AdjustableClock()
     first, second = LoopbackServer(fail), LoopbackServer()
     keyed = {"name": "move", "aimMs": 20000.0, "giveUpMs": 30000.0, "effect": "guarded"}
     settings = {"categories": [keyed | {"memorySpanMs": 1000.0 * DEDUPLICATION_WINDOW_S}]}
--- a/tests/proxy/test_client_disconnects.py
+++ b/tests/proxy/test_client_disconnects.py
@@ -17,6 +17,7 @@
 from loadbalancer.http.server_connection import ServerConnection
 from loadbalancer.proxy.proxy import Proxy
 from tests.support.disconnects import (
+    CAN_CANCEL,
     WAYS_TO_DISCONNECT,
     DisconnectingClient,
     FailingFirstAttempt,
@@ -29,9 +30,6 @@
 from tests.support.scripted_policy import acting_on, script_policy
 from tests.support.slow_reader import LARGE_BODY, slow_reader
 
-CAN_CANCEL = pytest.mark.parametrize(
-    "can_cancel", [pytest.param(True, id="can cancel"), pytest.param(False, id="cannot cancel")]
-)
 REUSE = pytest.mark.parametrize(
     "reuse", [pytest.param(True, id="pooled connections"), pytest.param(False, id="new connections")]
 )
--- a/tests/proxy/test_connection_limits.py
+++ b/tests/proxy/test_connection_limits.py
@@ -13,13 +13,7 @@
 
 from loadbalancer.actions import Reject
 from loadbalancer.events import IncomingRequest
-from tests.support.loopback import (
-    HttpClient,
-    StalledBackend,
-    running_proxy,
-    send_request,
-    until,
-)
+from tests.support.loopback import HttpClient, StalledBackend, running_proxy, send_request, until
 from tests.support.messages import request
 from tests.support.model_time import stop_listener_clock
 from tests.support.scripted_policy import script_policy
--- a/tests/proxy/test_endpoint_updates.py
+++ b/tests/proxy/test_endpoint_updates.py
@@ -5,13 +5,7 @@
 import pytest
 
 from loadbalancer.discovery.endpoint_list import EndpointList
-from loadbalancer.events import (
-    AttemptResult,
-    Endpoint,
-    EndpointState,
-    MembershipUpdate,
-    UpdateKind,
-)
+from loadbalancer.events import AttemptResult, Endpoint, EndpointState, MembershipUpdate, UpdateKind
 from loadbalancer.http.addresses import Address
 from loadbalancer.proxy.proxy import Proxy
 from tests.support.loopback import (
--- a/tests/proxy/test_forwarding.py
+++ b/tests/proxy/test_forwarding.py
@@ -19,7 +19,6 @@
     until,
 )
 from tests.support.messages import reply, request
-from tests.support.model_time import AdjustableClock
 from tests.support.proxy import policy_sending_to
 from tests.support.scripted_policy import acting_on, script_policy
 
@@ -111,8 +110,7 @@
         assert [(event.attempt, event.done) for event in outcomes] == [(1, True), (0, True)]
 
 
-async def test_attempt_ends_before_the_deadline_whatever_its_timeout():
-    clock = AdjustableClock()
+async def test_attempt_ends_before_the_deadline_whatever_its_timeout(clock):
     server = StalledBackend()
     async with running_proxy(server) as proxy:
         send = acting_on(
--- a/tests/proxy/test_request_parsing.py
+++ b/tests/proxy/test_request_parsing.py
@@ -8,13 +8,7 @@
 
 from loadbalancer.actions import Reject
 from loadbalancer.events import IncomingRequest
-from tests.support.loopback import (
-    HttpClient,
-    StalledBackend,
-    running_proxy,
-    send_request,
-    until,
-)
+from tests.support.loopback import HttpClient, StalledBackend, running_proxy, send_request, until
 from tests.support.messages import reply, request
 from tests.support.scripted_policy import acting_on, script_policy
 
--- a/tests/proxy/test_start.py
+++ b/tests/proxy/test_start.py
@@ -10,12 +10,7 @@
 from tests.support.discovery_outage import proxy_in_outage
 from tests.support.loopback import LoopbackServer
 from tests.support.messages import request, targets
-from tests.support.program import (
-    READINESS_REQUEST,
-    ROOT,
-    free_address,
-    send_until_response,
-)
+from tests.support.program import READINESS_REQUEST, ROOT, free_address, send_until_response
 
 # A start is paid in processor time. What the event loop and the two libraries bring along is not counted.
 BASE = "import asyncio, dataclasses, enum, logging, re, signal, httptools, orjson"
--- a/tests/proxy/test_upstream_attempt.py
+++ b/tests/proxy/test_upstream_attempt.py
@@ -11,12 +11,7 @@
 from loadbalancer.http.addresses import socket_address
 from tests.support.loopback import LoopbackServer, always, until
 from tests.support.messages import reply
-from tests.support.proxy import (
-    REQUEST_BYTES,
-    ManualServer,
-    attempt_result,
-    open_pool,
-)
+from tests.support.proxy import REQUEST_BYTES, ManualServer, attempt_result, open_pool
 from tests.support.sockets import close_by_reset, unaccepting_listener
 
 
--- /dev/null
+++ b/tests/support/proxy_fixtures.py
@@ -0,0 +1,30 @@
+"""Fixtures of all test folders: a running proxy in front of one backend."""
+
+from __future__ import annotations
+
+from collections.abc import AsyncIterator
+from typing import Any
+
+import pytest
+
+from loadbalancer.proxy.proxy import Proxy
+from tests.support.loopback import LoopbackServer, running_proxy
+
+
+@pytest.fixture
+def backend() -> LoopbackServer:
+    """The backend of `proxy`, whose script a test may set; a module with another kind overrides it."""
+    return LoopbackServer()
+
+
+@pytest.fixture
+def proxy_options() -> dict[str, Any]:
+    """Further arguments of `running_proxy` for `proxy`; a module with another configuration overrides it."""
+    return {}
+
+
+@pytest.fixture
+async def proxy(backend: LoopbackServer, proxy_options: dict[str, Any]) -> AsyncIterator[Proxy]:
+    """The proxy, which is closed with its backend and clients after the test."""
+    async with running_proxy(backend, **proxy_options) as proxy:
+        yield proxy
