--- a/tests/proxy/conftest.py
+++ b/tests/proxy/conftest.py
@@ -1,4 +1,4 @@
-"""A connection pool, and a clock that a test advances."""
+"""A connection pool, a clock that a test advances, and whether attempts can be cancelled."""
 
 from __future__ import annotations
 
@@ -18,3 +18,9 @@
 async def pool():
     async with open_pool() as pool:
         yield pool
+
+
+@pytest.fixture(params=[pytest.param(True, id="can cancel"), pytest.param(False, id="cannot cancel")])
+def can_cancel(request):
+    """Whether the platform lets the proxy cancel attempts."""
+    return request.param
--- a/tests/proxy/test_attempt_races.py
+++ b/tests/proxy/test_attempt_races.py
@@ -14,7 +14,6 @@
 from loadbalancer.http.server_connection import ServerConnection
 from loadbalancer.proxy.proxy import Proxy
 from tests.support.builders import allow_only
-from tests.support.disconnects import CAN_CANCEL
 from tests.support.loopback import (
     HttpClient,
     LoopbackServer,
@@ -70,7 +69,6 @@
     return gated, client
 
 
-@CAN_CANCEL
 @pytest.mark.parametrize(
     "disconnect",
     [
@@ -92,7 +90,6 @@
         assert proxy.policy.endpoints.by_name["s0"].in_flight == 0.0
 
 
-@CAN_CANCEL
 async def test_client_that_disconnects_while_a_retry_connects_is_not_forwarded(can_cancel):
     full, other = LoopbackServer(always(reply(503, Srv_Declined="1"))), LoopbackServer()
     async with running_proxy(full, other, bounds={"cancel": can_cancel}) as proxy:
@@ -107,7 +104,6 @@
         assert not proxy.requests.by_id
 
 
-@CAN_CANCEL
 async def test_client_that_disconnects_cancels_its_pipelined_requests(can_cancel):
     server = StalledBackend()
     async with running_proxy(server, bounds={"cancel": can_cancel}) as proxy:
@@ -138,7 +134,6 @@
     proxy.pool.connect = connect_and_fill  # type: ignore[method-assign]
 
 
-@CAN_CANCEL
 async def test_request_half_written_as_its_client_disconnects_is_not_sent(can_cancel):
     """The server accepts no more bytes: the rest waits in the proxy."""
     server = ManualServer()
--- a/tests/proxy/test_client_disconnects.py
+++ b/tests/proxy/test_client_disconnects.py
@@ -8,7 +8,6 @@
 
 import contextlib
 import socket
-from collections.abc import AsyncIterator
 
 import pytest
 
@@ -17,24 +16,18 @@
 from loadbalancer.http.server_connection import ServerConnection
 from loadbalancer.proxy.proxy import Proxy
 from tests.support.disconnects import (
-    CAN_CANCEL,
     WAYS_TO_DISCONNECT,
     DisconnectingClient,
     FailingFirstAttempt,
     disconnect_at_connection,
     disconnect_at_send,
 )
-from tests.support.loopback import HttpClient, always, running_proxy, send_request, until
+from tests.support.loopback import HttpClient, LoopbackServer, always, running_proxy, send_request, until
 from tests.support.messages import reply, request
 from tests.support.proxy import policy_sending_to
 from tests.support.scripted_policy import acting_on, script_policy
 from tests.support.slow_reader import LARGE_BODY, slow_reader
 
-REUSE = pytest.mark.parametrize(
-    "reuse", [pytest.param(True, id="pooled connections"), pytest.param(False, id="new connections")]
-)
-WAYS = pytest.mark.parametrize("way", WAYS_TO_DISCONNECT)
-
 
 @pytest.fixture(autouse=True)
 def immediate_reuse(monkeypatch):
@@ -67,64 +60,76 @@
     assert proxy.requests.open_count == 0
 
 
-@contextlib.asynccontextmanager
-async def disconnecting(
-    first_result: str, reuse: bool, way: str, can_cancel: bool
-) -> AsyncIterator[tuple[FailingFirstAttempt, Proxy, DisconnectingClient]]:
-    """The endpoints, the proxy and a client that is about to disconnect."""
-    backends = FailingFirstAttempt(first_result)
+@pytest.fixture(
+    params=[pytest.param(True, id="pooled connections"), pytest.param(False, id="new connections")]
+)
+def reuse(request):
+    """Whether the proxy has an idle connection to each endpoint."""
+    return request.param
+
+
+@pytest.fixture(params=WAYS_TO_DISCONNECT)
+def way(request):
+    """How the client disconnects."""
+    return request.param
+
+
+@pytest.fixture
+def first_result():
+    """The result of the first attempt; "none": it succeeds. A test with other results overrides it."""
+    return "none"
+
+
+@pytest.fixture
+def backends(first_result):
+    return FailingFirstAttempt(first_result)
+
+
+@pytest.fixture
+async def proxy(backends, reuse, can_cancel):
     async with running_proxy(*backends.servers, bounds={"cancel": can_cancel}) as proxy:
         if reuse:
             await backends.open_connections(proxy)
         backends.prepare(proxy)
-        with contextlib.closing(DisconnectingClient(proxy, way)) as client:
-            yield backends, proxy, client
+        yield proxy
+
 
+@pytest.fixture
+def client(proxy, way):
+    """A client that is about to disconnect."""
+    with contextlib.closing(DisconnectingClient(proxy, way)) as client:
+        yield client
 
-@CAN_CANCEL
-@WAYS
-@REUSE
-async def test_request_followed_by_its_clients_disconnect_is_not_forwarded(reuse, way, can_cancel):
+
+async def test_request_followed_by_its_clients_disconnect_is_not_forwarded(backends, proxy, client):
     """Read in one turn of a late event loop: the request, and with it or behind it the end of stream."""
-    async with disconnecting("none", reuse, way, can_cancel) as (backends, proxy, client):
-        client.send(request("post", "abandoned"))
-        client.disconnect()
-        await assert_disconnect_left_nothing(proxy, backends)
+    client.send(request("post", "abandoned"))
+    client.disconnect()
+    await assert_disconnect_left_nothing(proxy, backends)
 
 
-@CAN_CANCEL
-@WAYS
-@REUSE
 @pytest.mark.parametrize("first_result", ["none", "declined", "error", "reset", "refused"])
 async def test_client_that_disconnects_as_its_request_is_about_to_be_sent(
-    first_result, reuse, way, can_cancel
+    first_result, backends, proxy, client
 ):
     """For the first time, or for a retry after a failed attempt."""
-    async with disconnecting(first_result, reuse, way, can_cancel) as (backends, proxy, client):
-        disconnect_at_send(proxy, 1 if first_result == "none" else 2, client)
-        client.send(request("post" if first_result == "none" else "read", "abandoned"))
-        await until(lambda: client.disconnected)
-        seen = [] if first_result in ("none", "refused") else ["abandoned"]
-        await assert_disconnect_left_nothing(proxy, backends, *seen)
+    disconnect_at_send(proxy, 1 if first_result == "none" else 2, client)
+    client.send(request("post" if first_result == "none" else "read", "abandoned"))
+    await until(lambda: client.disconnected)
+    seen = [] if first_result in ("none", "refused") else ["abandoned"]
+    await assert_disconnect_left_nothing(proxy, backends, *seen)
 
 
-@CAN_CANCEL
-@WAYS
-@REUSE
-async def test_client_that_disconnects_as_its_second_request_is_about_to_be_sent(reuse, way, can_cancel):
-    async with disconnecting("none", reuse, way, can_cancel) as (backends, proxy, client):
-        client.send(request("post", "first"))
-        assert (await client.read_response()).startswith(b"HTTP/1.1 200")
-        client.send(request("post", "abandoned"))
-        client.disconnect()
-        await assert_disconnect_left_nothing(proxy, backends, "first")
+async def test_client_that_disconnects_as_its_second_request_is_about_to_be_sent(backends, proxy, client):
+    client.send(request("post", "first"))
+    assert (await client.read_response()).startswith(b"HTTP/1.1 200")
+    client.send(request("post", "abandoned"))
+    client.disconnect()
+    await assert_disconnect_left_nothing(proxy, backends, "first")
 
 
-@CAN_CANCEL
-@WAYS
-@REUSE
 async def test_client_that_disconnects_with_a_pipelined_request_about_to_be_sent(
-    reuse, way, can_cancel, monkeypatch
+    backends, proxy, client, monkeypatch
 ):
     """As the first response is written; the second request waits for the next turn."""
     respond = ServerConnection.respond
@@ -134,29 +139,25 @@
         if http_request.headers[b"req-id"] == b"first":
             client.disconnect()
 
-    async with disconnecting("none", reuse, way, can_cancel) as (backends, proxy, client):
-        with monkeypatch.context() as patch:
-            patch.setattr(ServerConnection, "respond", respond_and_disconnect)
-            client.send(request("post", "first") + request("post", "abandoned"))
-            await until(lambda: client.disconnected)
-            await until(lambda: has_ended_all(proxy) and not proxy.listener.connections)
-        await assert_disconnect_left_nothing(proxy, backends, "first")
+    with monkeypatch.context() as patch:
+        patch.setattr(ServerConnection, "respond", respond_and_disconnect)
+        client.send(request("post", "first") + request("post", "abandoned"))
+        await until(lambda: client.disconnected)
+        await until(lambda: has_ended_all(proxy) and not proxy.listener.connections)
+    await assert_disconnect_left_nothing(proxy, backends, "first")
 
 
-@CAN_CANCEL
-@WAYS
+@pytest.mark.parametrize("reuse", [pytest.param(False, id="new connections")])
 @pytest.mark.parametrize("first_result", ["none", "declined"])
-async def test_client_that_disconnects_as_its_attempt_has_connected(first_result, way, can_cancel):
+async def test_client_that_disconnects_as_its_attempt_has_connected(first_result, backends, proxy, client):
     """For a first attempt and for a retry."""
-    async with disconnecting(first_result, False, way, can_cancel) as (backends, proxy, client):
-        disconnect_at_connection(proxy, 1 if first_result == "none" else 2, client)
-        client.send(request("read", "abandoned"))
-        await until(lambda: client.disconnected)
-        seen = [] if first_result == "none" else ["abandoned"]
-        await assert_disconnect_left_nothing(proxy, backends, *seen)
+    disconnect_at_connection(proxy, 1 if first_result == "none" else 2, client)
+    client.send(request("read", "abandoned"))
+    await until(lambda: client.disconnected)
+    seen = [] if first_result == "none" else ["abandoned"]
+    await assert_disconnect_left_nothing(proxy, backends, *seen)
 
 
-@CAN_CANCEL
 async def test_client_whose_end_of_stream_has_been_read_is_disconnected_before_the_close(
     can_cancel, monkeypatch
 ):
@@ -186,28 +187,26 @@
         assert (proxy.requests.open_count, backends.seen) == (0, ["next"])
 
 
-async def test_client_that_ends_its_sending_and_reads_no_response_is_disconnected(
-    monkeypatch, backend, proxy
-):
+async def test_client_that_ends_its_sending_and_reads_no_response_is_disconnected(monkeypatch):
     """asyncio keeps such a connection until all is read: its loss would never be reported."""
-    backend.script = always(reply(200, LARGE_BODY))
     monkeypatch.setattr("loadbalancer.http.request_timeouts.UNREAD_TIMEOUT_S", 0.0)
     monkeypatch.setattr("loadbalancer.http.request_timeouts.LINGER_TIMEOUT_S", 0.0)
-    send = policy_sending_to("s0")
-    only_first = acting_on(lambda event: send(event) if event.request_id == "first" else [])
-    scripted = script_policy(proxy, only_first)
-    async with slow_reader(proxy) as (client, connection):
-        client.sendall(request("post", "first") + request("post", "abandoned"))
-        await until(lambda: "abandoned" in proxy.requests.by_id)  # the first response waits to be read
-        assert connection.unsent_bytes
-        client.shutdown(socket.SHUT_WR)
-        await until(lambda: connection._transport.is_closing())
-        assert [event.request_id for event in scripted.events_of(ClientDisconnected)] == ["abandoned"]
-        assert (proxy.requests.open_count, proxy.requests.by_id) == (0, {})
-        proxy.policy_runner.execute(Send("abandoned", "s0"))
-        assert scripted.events_of(AttemptOutcome)[-1].result is AttemptResult.NOT_SENT
-        proxy.listener.timeouts.end_overdue()
-        await until(lambda: not proxy.listener.connections)
+    async with running_proxy(LoopbackServer(always(reply(200, LARGE_BODY)))) as proxy:
+        send = policy_sending_to("s0")
+        only_first = acting_on(lambda event: send(event) if event.request_id == "first" else [])
+        scripted = script_policy(proxy, only_first)
+        async with slow_reader(proxy) as (client, connection):
+            client.sendall(request("post", "first") + request("post", "abandoned"))
+            await until(lambda: "abandoned" in proxy.requests.by_id)  # the first response waits to be read
+            assert connection.unsent_bytes
+            client.shutdown(socket.SHUT_WR)
+            await until(lambda: connection._transport.is_closing())
+            assert [event.request_id for event in scripted.events_of(ClientDisconnected)] == ["abandoned"]
+            assert (proxy.requests.open_count, proxy.requests.by_id) == (0, {})
+            proxy.policy_runner.execute(Send("abandoned", "s0"))
+            assert scripted.events_of(AttemptOutcome)[-1].result is AttemptResult.NOT_SENT
+            proxy.listener.timeouts.end_overdue()
+            await until(lambda: not proxy.listener.connections)
 
 
 class EagerClient(DisconnectingClient):
--- a/tests/support/disconnects.py
+++ b/tests/support/disconnects.py
@@ -6,8 +6,6 @@
 import socket
 import time
 
-import pytest
-
 from loadbalancer.actions import Action, Send
 from loadbalancer.events import Event
 from loadbalancer.http.addresses import Address
@@ -20,9 +18,6 @@
 
 ESTABLISHED, FIN_WAIT_1 = 1, 4  # states of Linux's TCP
 
-CAN_CANCEL = pytest.mark.parametrize(
-    "can_cancel", [pytest.param(True, id="can cancel"), pytest.param(False, id="cannot cancel")]
-)
 WAYS_TO_DISCONNECT = (
     "by closing",
     "by ending its sending",
