--- a/tests/proxy/test_attempt_races.py
+++ b/tests/proxy/test_attempt_races.py
@@ -24,16 +24,17 @@
     until,
 )
 from tests.support.messages import read_message, reply, request
-from tests.support.model_time import AdjustableClock
-from tests.support.proxy import GatedConnects, ManualServer, make_pool, policy_sending_to, start_attempt
+from tests.support.proxy import (
+    GatedConnects,
+    ManualServer,
+    make_pool,
+    policy_sending_to,
+    start_attempt,
+)
 from tests.support.scripted_policy import script_policy
 
 DEDUPLICATION_WINDOW_S = 10.0
 
-CAN_CANCEL = pytest.mark.parametrize(
-    "can_cancel", [pytest.param(True, id="can cancel"), pytest.param(False, id="cannot cancel")]
-)
-
 
 async def test_late_second_response_is_not_served_to_the_next_request(monkeypatch):
     """The proxy writes the next request while a second response to the one before is under way."""
@@ -68,7 +69,6 @@
     return gated, client
 
 
-@CAN_CANCEL
 @pytest.mark.parametrize(
     "disconnect",
     [
@@ -90,7 +90,6 @@
         assert proxy.policy.endpoints.by_name["s0"].in_flight == 0.0
 
 
-@CAN_CANCEL
 async def test_client_that_disconnects_while_a_retry_connects_is_not_forwarded(can_cancel):
     full, other = LoopbackServer(always(reply(503, Srv_Declined="1"))), LoopbackServer()
     async with running_proxy(full, other, bounds={"cancel": can_cancel}) as proxy:
@@ -105,7 +104,6 @@
         assert not proxy.requests.by_id
 
 
-@CAN_CANCEL
 async def test_client_that_disconnects_cancels_its_pipelined_requests(can_cancel):
     server = StalledBackend()
     async with running_proxy(server, bounds={"cancel": can_cancel}) as proxy:
@@ -136,7 +134,6 @@
     proxy.pool.connect = connect_and_fill  # type: ignore[method-assign]
 
 
-@CAN_CANCEL
 async def test_request_half_written_as_its_client_disconnects_is_not_sent(can_cancel):
     """The server accepts no more bytes: the rest waits in the proxy."""
     server = ManualServer()
@@ -190,12 +187,11 @@
             assert accepted.recv(1) == b""  # the event loop has had no turn
 
 
-async def test_keyed_retry_that_connects_after_the_deduplication_window_is_not_sent():
+async def test_keyed_retry_that_connects_after_the_deduplication_window_is_not_sent(clock):
     async def fail(_message):
         allow_only(proxy.policy.endpoints, "s1")
         return reply(500)
 
-    clock = AdjustableClock()
     first, second = LoopbackServer(fail), LoopbackServer()
     keyed = {"name": "move", "aimMs": 20000.0, "giveUpMs": 30000.0, "effect": "guarded"}
     settings = {"categories": [keyed | {"memorySpanMs": 1000.0 * DEDUPLICATION_WINDOW_S}]}
