--- a/loadbalancer/discovery_server/endpoint_store.py
+++ b/loadbalancer/discovery_server/endpoint_store.py
@@ -14,21 +14,10 @@
     EndpointRecord,
     EndpointUpdate,
     Snapshot,
-    tombstone,
 )
 from loadbalancer.discovery_server.response_cache import ResponseCache
 from loadbalancer.discovery_server.revisions import STARTUP_LEAD_TICKS, RevisionClock, is_plausible
-
-
-class UpdateError(ValueError):
-    """An update that the endpoint list can't apply."""
-
-
-class MissingListError(UpdateError):
-    """Changes that arrived before any complete list."""
-
-    def __init__(self) -> None:
-        super().__init__("changes arrived before the complete list")
+from loadbalancer.discovery_server.update_merge import UpdateError, merge_updates
 
 
 class ListLimitError(UpdateError):
@@ -94,8 +83,7 @@
             ListLimitError: The list would grow beyond its limits.
         """
         initialized = self.initialized or any(update.complete for update in updates)
-        changes = self._merge(updates)
-        changed = tuple(record for record in changes.values() if self._differs(record))
+        changed = merge_updates(self.records, updates, initialized=self.initialized)
         self._check_limits(changed)
         if not initialized or (self.initialized and not changed and minimum_revision <= self.revision):
             return None
@@ -163,35 +151,6 @@
         self.initialized = True
         self.responses.reset(self.revision, self._json_bytes)
 
-    def _merge(self, updates: Sequence[EndpointUpdate]) -> dict[str, EndpointRecord]:
-        """The last record, by uid, of each endpoint in these updates."""
-        changes: dict[str, EndpointRecord] = {}
-        initialized = self.initialized
-        for update in updates:
-            if update.complete:
-                initialized = True
-                self._merge_complete_list(changes, update.records)
-            elif not initialized:
-                raise MissingListError
-            else:
-                changes.update((record.uid, record) for record in update.records)
-        return changes
-
-    def _merge_complete_list(
-        self, changes: dict[str, EndpointRecord], records: Sequence[EndpointRecord]
-    ) -> None:
-        """Add the changes that lead to this complete list; an endpoint that it lacks becomes a tombstone."""
-        listed = {record.uid: record for record in records if not record.removed}
-        for current in [*self.records.values(), *changes.values()]:
-            latest = changes.get(current.uid, current)
-            if latest.uid not in listed and not latest.removed:
-                changes[latest.uid] = tombstone(latest)
-        changes.update(listed)
-
-    def _differs(self, record: EndpointRecord) -> bool:
-        current = self.records.get(record.uid)
-        return current is not None if record.removed else current != record
-
     def _check_limits(self, changed: Sequence[EndpointRecord]) -> None:
         entries, json_bytes = len(self.records), self._json_bytes
         for record in changed:
--- a/loadbalancer/discovery_server/update_pipeline.py
+++ b/loadbalancer/discovery_server/update_pipeline.py
@@ -8,10 +8,11 @@
 
 from structlog.stdlib import BoundLogger
 
-from loadbalancer.discovery_server.endpoint_store import EndpointStore, UpdateError
+from loadbalancer.discovery_server.endpoint_store import EndpointStore
 from loadbalancer.discovery_server.records import ChangeSet, EndpointUpdate
 from loadbalancer.discovery_server.revisions import required_lead
 from loadbalancer.discovery_server.snapshot_writer import SnapshotWriter
+from loadbalancer.discovery_server.update_merge import UpdateError
 
 
 class RevisionNotReservedError(Exception):
--- a/tests/discovery_server/test_endpoint_store.py
+++ b/tests/discovery_server/test_endpoint_store.py
@@ -4,8 +4,9 @@
 
 import pytest
 
-from loadbalancer.discovery_server.endpoint_store import ListLimitError, MissingListError
+from loadbalancer.discovery_server.endpoint_store import ListLimitError
 from loadbalancer.discovery_server.revisions import TAG_BITS
+from loadbalancer.discovery_server.update_merge import MissingListError
 from tests.discovery_server.builders import (
     NOW_MS,
     apply,
