--- a/tests/discovery_server/test_update_pipeline.py
+++ b/tests/discovery_server/test_update_pipeline.py
@@ -26,7 +26,7 @@
 from tests.support.loopback import until
 
 OTHER_TAG = 77
-BEYOND_LEAD_TICKS = 30_000  # 5 min beyond the current revision
+EXCESS_TICKS = 30_000  # 5 min beyond the current revision
 
 
 @pytest.fixture
@@ -64,9 +64,9 @@
     return document["rev"]
 
 
-def serve_client_beyond(server, ticks):
+def serve_client_exceeding(server, ticks):
     """Serve a client whose revision is ahead by so many ticks, at its second request at the latest."""
-    client_revision = revision_beyond(server, ticks)
+    client_revision = revision_exceeding(server, ticks)
     try:
         revision_served_after(server, client_revision)
     except ConnectionError:
@@ -74,25 +74,25 @@
         revision_served_after(server, client_revision)
 
 
-def revision_beyond(server, ticks):
+def revision_exceeding(server, ticks):
     return server.store.revision + (ticks << TAG_BITS) + OTHER_TAG
 
 
 @pytest.mark.parametrize("restart_s", [0.02, 1.0, 1.02, 1.5])
-@pytest.mark.parametrize("ticks", [0, 1, BEYOND_LEAD_TICKS])
+@pytest.mark.parametrize("ticks", [0, 1, EXCESS_TICKS])
 def test_revision_advanced_for_a_client_is_not_issued_again_after_a_restart(server, ticks, restart_s):
     for _ in range(5):
-        serve_client_beyond(server, ticks)
+        serve_client_exceeding(server, ticks)
     restart(server, restart_s)
     change(server, "b")
     for _ in range(2 * REVISION_GAP_TICKS):
-        serve_client_beyond(server, 0)
+        serve_client_exceeding(server, 0)
     assert not server.cluster.faults
 
 
-@pytest.mark.parametrize("ticks", [REVISION_GAP_TICKS, BEYOND_LEAD_TICKS])
-def test_client_beyond_the_lead_is_served_once_both_snapshots_state_a_longer_lead(server, ticks):
-    client_revision = revision_beyond(server, ticks)
+@pytest.mark.parametrize("ticks", [REVISION_GAP_TICKS, EXCESS_TICKS])
+def test_client_that_exceeds_the_lead_is_served_once_both_snapshots_state_a_longer_lead(server, ticks):
+    client_revision = revision_exceeding(server, ticks)
     before = server.store.revision
     server.disk.slow = True
     for _ in range(3):
@@ -109,9 +109,9 @@
         assert (snapshot.revision, snapshot.lead_ticks >= lead_ticks) == (before, True)
 
 
-def test_clients_beyond_the_lead_before_and_after_a_restart_get_no_common_revision(server):
+def test_clients_that_exceed_the_lead_before_and_after_a_restart_get_no_common_revision(server):
     """Both hold one revision of another server; the first one's response is not on the disk."""
-    client_revision = revision_beyond(server, BEYOND_LEAD_TICKS)
+    client_revision = revision_exceeding(server, EXCESS_TICKS)
     server.disk.slow = True
     with pytest.raises(ConnectionError):
         revision_served_after(server, client_revision)
@@ -125,8 +125,8 @@
 
 
 @pytest.mark.parametrize("fault", ["full", "slow"])
-def test_client_beyond_the_lead_is_not_served_before_a_failed_disk_works_again(server, fault):
-    client_revision = revision_beyond(server, BEYOND_LEAD_TICKS)
+def test_client_that_exceeds_the_lead_is_not_served_before_a_failed_disk_works_again(server, fault):
+    client_revision = revision_exceeding(server, EXCESS_TICKS)
     setattr(server.disk, fault, True)
     for _ in range(3):
         with pytest.raises(ConnectionError):
@@ -135,14 +135,14 @@
     setattr(server.disk, fault, False)
     server.disk.run_pending()
     server.cluster.run()
-    serve_client_beyond(server, BEYOND_LEAD_TICKS)
+    serve_client_exceeding(server, EXCESS_TICKS)
 
 
 @pytest.mark.parametrize("full", [False, True])
 @pytest.mark.parametrize("damage", ["none", "newest lost"])
-def test_restarts_beyond_the_lead_issue_no_revision_twice(server, full, damage):
+def test_restarts_that_exceed_the_lead_issue_no_revision_twice(server, full, damage):
     """Each process issues its first revisions while its disk is full or works, and then loses a file."""
-    serve_client_beyond(server, BEYOND_LEAD_TICKS)
+    serve_client_exceeding(server, EXCESS_TICKS)
     change(server, "a")
     for uid in "bcd":
         restart(server, 1.0)
@@ -163,17 +163,17 @@
     revision = node.revision
     assert node.watch is not None
     for _ in range(MAX_LOG_ENTRIES + 1):
-        serve_client_beyond(server, 0)
+        serve_client_exceeding(server, 0)
     server.flush()
     assert node.watch is None
     assert node.revision == server.store.revision > revision
 
 
-async def test_client_beyond_the_lead_is_rejected_with_503_and_served_after_the_write(tmp_path):
+async def test_client_that_exceeds_the_lead_is_rejected_with_503_and_served_after_the_write(tmp_path):
     async with Registry("a") as registry, discovery_server(tmp_path, registry.endpoint) as server:
         await until(lambda: server.ready)
         client = await Client.connect(address_of(server))
-        client_revision = (await client.get_list()).revision + (BEYOND_LEAD_TICKS << TAG_BITS) + OTHER_TAG
+        client_revision = (await client.get_list()).revision + (EXCESS_TICKS << TAG_BITS) + OTHER_TAG
         client.send_watch(client_revision)
         rejection = await client.read()
         assert (rejection.status, rejection.headers["retry-after"]) == (503, "1.000")
