--- /dev/null
+++ b/tests/test_external_names.py
@@ -0,0 +1,231 @@
+"""Names that leave the process: log events, stored fields, headers, simulator messages, options, columns.
+
+Operators' tools, other versions and the platform match these names, so that a rename in the code must not
+change them. Configuration keys are compared with `docs/configuration.md` by `test_configuration_page.py`.
+"""
+
+from __future__ import annotations
+
+import ast
+import importlib
+import re
+from collections.abc import Iterator
+from pathlib import Path
+
+import msgspec
+import orjson
+import pytest
+
+from benchmarks.call_profile.profiled_proxy import OUTPUT_VARIABLE
+from benchmarks.support.list_server import ListServerStatistics
+from benchmarks.support.records import Record
+from loadbalancer import __main__ as proxy_program
+from loadbalancer import simulator_adapter
+from loadbalancer.actions import Action, Cancel, Fail, Reject, Send, StartTimer, StartWatch
+from loadbalancer.discovery import watch_client
+from loadbalancer.discovery.endpoint_list import STATES
+from loadbalancer.discovery_server import __main__ as discovery_server_program
+from loadbalancer.discovery_server import frontend, state_directory, watch_query
+from loadbalancer.discovery_server.records import ChangeSet, EndpointRecord, Snapshot
+from loadbalancer.discovery_server.snapshot_store import MAGIC, SnapshotStore
+from loadbalancer.discovery_server.statistics import ServerStatistics
+from loadbalancer.events import AttemptResult, UpdateKind
+from loadbalancer.http import request_parser, server_connection
+from loadbalancer.http.response_head import encode_response_head
+from loadbalancer.platform_settings import LOAD_REPORT_FIELDS, REPORT_FORMAT
+from loadbalancer.proxy import request_forwarding, request_parsing, upstream_attempt
+from loadbalancer.proxy.statistics import Gauges, Statistics
+from loadbalancer.simulator_wire import (
+    ATTEMPT_RESULTS,
+    ENDPOINT_STATES,
+    EVENT_READERS,
+    UPDATE_KINDS,
+    write_action,
+)
+
+ROOT = Path(__file__).parents[1]
+LOG_METHODS = {"info", "warning", "error", "exception"}
+
+
+def columns(record: type[msgspec.Struct]) -> list[str]:
+    """The names under which the fields are written out, in their order."""
+    return [field.encode_name for field in msgspec.structs.fields(record)]
+
+
+def logged(package: str) -> Iterator[str]:
+    """Each event that the package logs, with the names of its fields."""
+    for path in (ROOT / "loadbalancer" / package).rglob("*.py"):
+        for call in ast.walk(ast.parse(path.read_text())):
+            if not isinstance(call, ast.Call) or not isinstance(call.func, ast.Attribute) or not call.args:
+                continue
+            is_logger = re.search(r"log(ger)?$", ast.unparse(call.func.value))
+            if call.func.attr in LOG_METHODS and is_logger and isinstance(call.args[0], ast.Constant):
+                fields = [keyword.arg or "**" for keyword in call.keywords]
+                yield " ".join([str(call.args[0].value), *fields])
+
+
+def options() -> set[str]:
+    """The command-line options of all benchmarks."""
+    sources = [path.read_text() for path in (ROOT / "benchmarks").rglob("*.py")]
+    nodes = [node for text in sources for node in ast.walk(ast.parse(text))]
+    values = {str(node.value) for node in nodes if isinstance(node, ast.Constant)}
+    return {value for value in values if re.fullmatch("--[a-z-]+", value)}
+
+
+def record_columns() -> set[str]:
+    """All columns of the benchmarks' records."""
+    for path in (ROOT / "benchmarks").rglob("*.py"):
+        if path.name != "__main__.py" and "Record" in path.read_text():
+            importlib.import_module(".".join(path.relative_to(ROOT).with_suffix("").parts))
+    return {column for record in Record.__subclasses__() for column in columns(record)}
+
+
+def messages(*actions: Action) -> list[str]:
+    """Each action as the simulator receives it."""
+    return [orjson.dumps(write_action(1, action)).decode() for action in actions]
+
+
+SNAPSHOTS = SnapshotStore(Path(), "a")
+
+NAMES = {
+    "proxy, log": (
+        set(logged("proxy")) | {event for event in logged("") if "proxy s" in event or "bad conf" in event},
+        """discovery address set name=%s address=%s:%d|configuration changes wait for the next start name=%s
+        |statistics name=%s %s|policy fault event=%s|proxy serving name=%s address=%s:%d
+        |proxy stopping name=%s|bad configuration, keeping the one in force cause=%s""",
+    ),
+    "watch, log": (set(logged("discovery")), "endpoint list unavailable, keeping last known good: %s"),
+    "discovery server, log": (
+        set(logged("discovery_server")),
+        """snapshot rejected list error|snapshot loaded list revision entries|upstream connected list upstream
+        |upstream lost, keeping last known good list upstream cause|snapshot write failed list error
+        |change committed list revision entries|update rejected, keeping last known good list error
+        |listening list address|shutting down|statistics **
+        |fewer descriptors than connections connections available""",
+    ),
+    "proxy, counters and gauges": (
+        [*Statistics().fields(), *Gauges._fields],
+        """requests_received|requests_over_limit|client_disconnects|unread_client_disconnects|missed_deadlines
+        |policy_faults|event_loop_lag_ms|open_requests|cursor|downstream_connections|upstream_connections""",
+    ),
+    "attempts_ and endpoint_lists_": (
+        [result.value for result in AttemptResult] + [kind.name.lower() for kind in UpdateKind],
+        "ok|error|rejected|timeout|connect_failed|reset|cancelled|not_sent|delta|complete|cached|unavailable",
+    ),
+    "discovery server, counters and gauges": (
+        columns(ServerStatistics),
+        """lists|initialized_lists|connected_upstreams|connections|waiting_watches|completed_watches|encodings
+        |rejected_requests|dropped_clients|outdated_snapshots""",
+    ),
+    "snapshot": (
+        [MAGIC.decode().strip(), *columns(Snapshot)],
+        "orchidledge directory 1|name|tag|revision|rows|base|steps|lead",
+    ),
+    "snapshot, arrays": (
+        columns(ChangeSet) + columns(EndpointRecord),
+        "revision|records|uid|entry_json|removed",
+    ),
+    "files": (
+        [SNAPSHOTS.newest.name, SNAPSHOTS.previous.name, state_directory.LOCK_FILE],
+        "a.snapshot|a.snapshot.previous|lock",
+    ),
+    "paths, query and states": (
+        [
+            server_connection.READY_PATH.decode(),
+            frontend.PATH.decode(),
+            watch_client.PATH,
+            *[name.decode() for name in watch_query.PROTOCOL_PARAMETERS],
+            *STATES,
+        ],
+        "/up|/discovery/hosts|/discovery/hosts|since|timeout_ms|Ready|Terminating|Gone",
+    ),
+    "request headers": (
+        {name.decode() for name in request_parser.SINGLE_VALUE_HEADERS},
+        """host|req-id|idempotency-key|req-owner|req-retry|req-cost|req-extra|req-deadline-ms|accept|content-type
+        |content-encoding|content-length|transfer-encoding|expect""",
+    ),
+    "request headers that are read": (
+        [
+            request_parsing.DEADLINE_HEADER.decode(),
+            request_parsing.ID_HEADER.decode(),
+            request_parsing.IDEMPOTENCY_KEY_HEADER.decode(),
+            request_parsing.TENANT_HEADER.decode(),
+            request_parsing.RETRY_HEADER.decode(),
+            request_parsing.COST_HEADER.decode(),
+        ],
+        "req-deadline-ms|req-id|idempotency-key|req-owner|req-retry|req-cost",
+    ),
+    "forwarded headers": (
+        {name.decode() for name in request_forwarding.FORWARDED_HEADERS},
+        """host|req-id|idempotency-key|req-owner|req-retry|req-cost|req-extra|accept|content-type
+        |content-encoding""",
+    ),
+    "response headers": (
+        [
+            request_forwarding.LOAD_REPORT_HEADER.decode(),
+            upstream_attempt.DECLINED_HEADER.decode(),
+            *encode_response_head(503, 0, 1500.0, close=True).decode().split("\r\n"),
+        ],
+        """srv-load|srv-declined|HTTP/1.1 503 Service Unavailable|Content-Length: 0|Retry-After: 1.500
+        |Connection: close||""",
+    ),
+    "load report": (
+        [REPORT_FORMAT, *LOAD_REPORT_FIELDS, *LOAD_REPORT_FIELDS.values()],
+        """TEXT|concurrent|depth|load_share|mean_ms|tps|err_ps|inflight|queue|util|latency_ms|qps|eps""",
+    ),
+    "simulator, events": (
+        [*EVENT_READERS, *simulator_adapter.IGNORED_KINDS, *ENDPOINT_STATES, *UPDATE_KINDS],
+        """MEMBERSHIP|NEW_REQUEST|FIRST|RETURNED|LAPSED|ALARM|HEALTH|PEER|up|draining|removed|delta|full|cached
+        |failed""",
+    ),
+    "simulator, results": (list(map(str, ATTEMPT_RESULTS)), "0|255|254|253|252|251|250|249"),
+    "simulator, actions": (
+        messages(Send("a", "s"), Reject("a"), Fail("a"), Cancel("a", 0), StartTimer(5.0, "t"), StartWatch()),
+        """{"kind":"ISSUE","txn":"a","server":"s","timeoutMs":0.0,"node":1}
+        |{"kind":"DECLINE","txn":"a","stayAwayMs":0.0,"node":1}|{"kind":"FINISH_ERROR","txn":"a","node":1}
+        |{"kind":"RETRACT","txn":"a","attempt":0,"node":1}
+        |{"kind":"SLEEP","delayMs":5.0,"name":"t","node":1}|{"kind":"OBSERVE","enable":true,"node":1}""",
+    ),
+    "environment": ([proxy_program.CONFIG_VARIABLE, OUTPUT_VARIABLE], "PROXY_CONFIG|SCALE_PROFILE"),
+    "exit codes": (
+        [
+            f"{program.__name__.split('.')[1]} {name} {code}"
+            for program in (proxy_program, discovery_server_program, simulator_adapter)
+            for name, code in sorted(vars(program).items())
+            if name.startswith("EXIT_")
+        ],
+        """__main__ EXIT_BAD_CONFIGURATION 2|__main__ EXIT_OK 0|__main__ EXIT_SYSTEM_ERROR 1
+        |discovery_server EXIT_BAD_CONFIGURATION 2|discovery_server EXIT_FAILED 1
+        |simulator_adapter EXIT_BAD_INPUT 2|simulator_adapter EXIT_OK 0""",
+    ),
+    "benchmarks, options": (
+        options(),
+        """--balancer|--bursts|--calm-s|--chance|--cold|--host|--load|--no-limit|--nodes|--only|--out|--port
+        |--processes|--quick|--rate|--rate-s|--rates|--restarts|--rounds|--seconds|--seed|--seeds|--server|--servers
+        |--service-ms|--shape|--sizes|--sockets|--unpaced|--write""",
+    ),
+    "benchmarks, columns": (
+        record_columns(),
+        """again|answers|back|by chance|by tier|bytes|bytes_in_per_s|bytes_of_budget|bytes_out_per_s
+        |bytes_per_s|bytes_per_told|calls|changes|changes_per_s|cold windows|core|core_error|cpu_error_ms
+        |cpu_error_us|cpu_ms|cpu_us|crowded|cv|cv by chance|depth|due|end_mb|entries|failed|fullest
+        |function|held|hollow_cpu_ms|hollow_cpu_ms_per_s|idle_core|idle_mb|in_force_max_ms|in_force_ms
+        |in_force_p50_ms|in_force_p99_ms|kept_per_s|last_ms|late|late_sent_p99_us|list|lists|lists_watched
+        |load|load_before|max attempts|mb|mb_of_budget|missed|most/node|most/server|news|news_bytes
+        |of_budget|ok_share|opened|opened/call|opened_per_call|p50_ms|p50_us|p99_ms|p99_us|quick_share
+        |rate_per_s|read_last_ms|received|refused|refused then|samples|seconds|sent|sent/tier|served
+        |served then|shed|tenth of|there|tier|top|us|waited|waited_us|watches|whole|worst/mean""",
+    ),
+    "list server": (
+        columns(ListServerStatistics),
+        "revision|entries|connections|waiting|accepted|answers|bytes_in|bytes_out|cpu_s|at_s",
+    ),
+}
+
+
+@pytest.mark.parametrize(("found", "expected"), NAMES.values(), ids=NAMES)
+def test_name_outside_the_process_is_unchanged(found, expected):
+    names = [name.strip() for name in expected.split("|")]
+    assert (sorted(found) if isinstance(found, set) else list(found)) == (
+        sorted(names) if isinstance(found, set) else names
+    )
