--- a/loadbalancer/discovery/endpoint_list.py
+++ b/loadbalancer/discovery/endpoint_list.py
@@ -49,7 +49,7 @@
         EndpointListError: a required field is absent, or a field has the wrong type or value.
     """
     if not isinstance(value, dict):
-        raise EndpointListError("", "not an object")
+        raise EndpointListError("", f"found a value of type {type(value).__name__}, expected an object")
     revision = _required(value, "rev", int)
     complete = _required(value, "all", bool)
     targets = _required(value, "targets", list)
@@ -61,15 +61,21 @@
     except AddressError as error:
         raise EndpointListError("targets.endpoint", str(error)) from error
     except KeyError as error:
-        raise EndpointListError(f"targets.{error.args[0]}", "missing") from error
+        raise EndpointListError(
+            f"targets.{error.args[0]}", "missing from an entry; each entry requires uid, endpoint and state"
+        ) from error
     except (TypeError, AttributeError, ValueError) as error:
-        raise EndpointListError("targets", f"malformed: {type(error).__name__}: {error}") from error
+        raise EndpointListError(
+            "targets",
+            f"an entry can't be read ({type(error).__name__}: {error}); expected objects"
+            " with strings uid, endpoint and state, and numbers pod_group and boot_ms",
+        ) from error
     return EndpointList(revision, complete, endpoints, addresses)
 
 
 def _required(value: dict[str, Any], field: str, kind: type[_Kind]) -> _Kind:
     if field not in value:
-        raise EndpointListError(field, "missing")
+        raise EndpointListError(field, f"missing; expected a value of type {kind.__name__}")
     found = value[field]
     if not isinstance(found, kind):
         raise EndpointListError(field, f"{found!r} is not of type {kind.__name__}")
--- a/loadbalancer/http/addresses.py
+++ b/loadbalancer/http/addresses.py
@@ -32,14 +32,16 @@
     address = str(text)
     host, _, port = address.rpartition(":")
     if not port.isascii() or not port.isdigit() or int(port) > MAX_PORT:
-        raise AddressError(address, f"{text!r} is not an address and a port")
+        raise AddressError(address, f"{text!r} is not of the form host:port with a port from 0 to {MAX_PORT}")
     # Guard: a host name would be resolved in a thread, which can take any length of time. Only numeric
     # addresses are accepted.
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     try:
         return Address(socket.inet_ntop(family, socket.inet_pton(family, host)), int(port))
     except OSError:
-        raise AddressError(address, f"{host!r} is not an address") from None
+        raise AddressError(
+            address, f"{host!r} is not an IPv4 or IPv6 address; host names and brackets are not accepted"
+        ) from None
 
 
 def socket_address(listening: socket.socket) -> Address:
