--- a/loadbalancer/discovery/watch_client.py
+++ b/loadbalancer/discovery/watch_client.py
@@ -64,7 +64,9 @@
         """Fail the future with ConnectionError."""
         del request_written  # a watch request is idempotent
         if not self.future.done():
-            self.future.set_exception(ConnectionError("discovery closed the connection"))
+            self.future.set_exception(
+                ConnectionError("connection to discovery ended without a valid response")
+            )
 
 
 class WatchClient:
@@ -131,7 +133,7 @@
         self._disconnect()
         self._failures += 1
         if self._failures == 1 or isinstance(error, ValueError):
-            cause = " ".join(str(error).split()) or "no response in time"
+            cause = " ".join(str(error).split()) or "discovery did not accept a connection or respond in time"
             logger.warning("endpoint list unavailable, keeping last known good: %s", cause)
         if not self._options.retries_forever:
             self._task = None
@@ -153,10 +155,12 @@
             refresh = self._options.refresh_on_connect
         response = await self._send_request(connection, wait_ms, complete=refresh)
         if response.status != HTTPStatus.OK:
-            raise WatchResponseError(f"discovery responded with status {response.status}")
+            raise WatchResponseError(f"discovery responded with status {response.status}, expected 200")
         endpoint_list = self._options.parse(orjson.loads(response.body))
         if refresh and not endpoint_list.complete:
-            raise WatchResponseError("discovery sent changes where the complete list was requested")
+            raise WatchResponseError(
+                f"discovery sent a delta of revision {endpoint_list.revision}, expected the complete list"
+            )
         return endpoint_list
 
     async def _connect(self) -> ClientConnection:
