--- a/loadbalancer/discovery/watch_client.py
+++ b/loadbalancer/discovery/watch_client.py
@@ -41,16 +41,16 @@
 
 @dataclass(slots=True, frozen=True, eq=False, repr=False)
 class WatchOptions:
-    """The options of a watch."""
+    """How long a watch request waits, when it is repeated, and how its response is parsed."""
 
-    wait_ms: float  # the longest that discovery may delay its response until there is a change
+    wait_ms: float  # the longest time for which discovery may delay a response without changes
     retries_forever: bool  # False: a failed watch request ends the watch, and the owner starts the next one
     refresh_on_connect: bool = False  # the first request on each connection asks for the complete list
     parse: Callable[[object], EndpointList] = parse_endpoint_list  # raises ValueError
 
 
 class _PendingResponse:
-    """The exchange of one watch request: a future of its response."""
+    """The exchange of one watch request; provides the response as a future."""
 
     def __init__(self) -> None:
         self.future: asyncio.Future[HttpResponse] = asyncio.get_running_loop().create_future()
@@ -93,8 +93,9 @@
 
     def reconnect_to(self, address: Address) -> None:
         """Follow the list at this address from now on, starting from the current revision."""
-        # Guard: the node soon counts as notified of all changes at the new address. A backoff, or a watch
-        # that has become silent at the same address, would delay the first request. Both are dropped.
+        # The node counts as notified of all changes at the new address after `NOTIFICATION_DEADLINE_MS`. A
+        # running backoff, or a pending request to a server at the same address that has stopped responding,
+        # would delay the first request. Both are therefore dropped.
         self.close()
         self._address, self._task, self._failures = address, None, 0
         self.start()
@@ -115,8 +116,8 @@
                 self._report_failure(error)
                 if not self._options.retries_forever:
                     return
-                # Guard: after a reset or a silence, discovery may have changes of which the node already
-                # counts as notified, and a backoff would delay them. The first retry follows at once.
+                # After a reset or a missing response, discovery may have changes of which the node already
+                # counts as notified, and a backoff would delay them. The first retry is therefore immediate.
                 if self._failures > 1:
                     await asyncio.sleep(PUSH_BACKOFF_S)
                 continue
@@ -126,7 +127,7 @@
             kind = UpdateKind.COMPLETE if endpoint_list.complete else UpdateKind.DELTA
             self._on_update(kind, endpoint_list)
             if unchanged and loop.time() - started_at_s < EMPTY_RESPONSE_PAUSE_S:
-                # Guard: discovery that responds without waiting would get watch requests in an endless loop.
+                # If discovery responds without waiting, it would otherwise get requests in an endless loop.
                 await asyncio.sleep(EMPTY_RESPONSE_PAUSE_S)
 
     def _report_failure(self, error: Exception) -> None:
@@ -149,8 +150,8 @@
         connection, wait_ms, refresh = self._connection, self._options.wait_ms, False
         if connection is None or not connection.reusable:
             connection = await self._connect()
-            # Guard: discovery that accepts connections and never responds would be noticed too late after a
-            # change of address. The first request on a connection therefore has a shorter wait.
+            # After a change of address, a discovery server that accepts connections and never responds would
+            # be detected too late. The first request on a connection therefore has a shorter wait.
             wait_ms = min(wait_ms, FIRST_WAIT_MS)
             refresh = self._options.refresh_on_connect
         response = await self._send_request(connection, wait_ms, complete=refresh)
@@ -180,8 +181,8 @@
         request = f"GET {PATH}{query} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n"
         pending = _PendingResponse()
         connection.send_request(request.encode(), pending)
-        # Guard: a late turn of the event loop finds both the response and the expired time limit, and
-        # `asyncio.wait_for` would drop the response. `asyncio.wait` returns it.
+        # If the event loop runs late, the response and the expired time limit are handled in the same
+        # iteration, and `asyncio.wait_for` would drop the response. `asyncio.wait` returns it.
         done, _ = await asyncio.wait({pending.future}, timeout=wait_ms / 1000.0 + RESPONSE_GRACE_S)
         if not done:
             raise TimeoutError
