--- a/loadbalancer/http/addresses.py
+++ b/loadbalancer/http/addresses.py
@@ -16,7 +16,7 @@
 
 
 class AddressError(ValueError):
-    """A text that is not an IP address and a port; `text` holds it."""
+    """Text that is not an IP address and a port; `text` holds it."""
 
     def __init__(self, text: str, reason: str) -> None:
         super().__init__(reason)
@@ -33,8 +33,7 @@
     host, _, port = address.rpartition(":")
     if not port.isascii() or not port.isdigit() or int(port) > MAX_PORT:
         raise AddressError(address, f"{text!r} is not of the form host:port with a port from 0 to {MAX_PORT}")
-    # Guard: a host name would be resolved in a thread, which can take any length of time. Only numeric
-    # addresses are accepted.
+    # Resolving a host name would occupy a thread for an unbounded time. Only numeric addresses are accepted.
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     try:
         return Address(socket.inet_ntop(family, socket.inet_pton(family, host)), int(port))
@@ -45,6 +44,6 @@
 
 
 def socket_address(listening: socket.socket) -> Address:
-    """The address that a socket of an internet family is bound to."""
+    """Return the address that an IPv4 or IPv6 socket is bound to."""
     host, port = listening.getsockname()[:2]  # an IPv6 socket adds a flow label and a scope
     return Address(host, port)
--- a/loadbalancer/http/client_connection.py
+++ b/loadbalancer/http/client_connection.py
@@ -1,4 +1,4 @@
-"""The client's end of a connection: one exchange at a time, no request sent twice."""
+"""The client side of an HTTP connection: one exchange at a time; no request is sent twice."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 
 
 class Exchange(Protocol):
-    """One request on a connection. Exactly one of the methods is called, once, unless it is aborted."""
+    """The callbacks of one request: exactly one is called, once, unless the owner aborts the connection."""
 
     def on_response(self, response: HttpResponse) -> None:
-        """The response is complete. The connection may be used again if it is `reusable`."""
+        """Handle the complete response; the connection may be used again if it is `reusable`."""
 
     def on_connection_lost(self, *, request_written: bool) -> None:
-        """The connection ended without a complete response.
+        """Handle the end of the connection without a complete response.
 
         Args:
-            request_written: Whether the last byte of the request has left this process.
+            request_written: Whether the complete request has been written to the socket.
         """
 
 
 class ClientConnection(asyncio.Protocol):
-    """The client's end of a connection; `on_closed` is called when it is lost.
+    """The client side of a connection; `on_closed` is called when it is lost.
 
     A response that the parser finds unusable ends the connection at once.
     """
@@ -49,8 +49,8 @@
     @property
     def reusable(self) -> bool:
         """Whether a new request may be sent on this connection."""
-        # Guard: a request that is sent after the server's end of stream has arrived, but before the event
-        # loop has delivered it, ends in a reset. The socket itself is asked.
+        # If the server's end of stream has arrived but the event loop has not delivered it yet, a request
+        # sent now ends in a reset. The socket itself is therefore checked.
         transport = self._transport
         return (
             transport is not None
@@ -63,44 +63,44 @@
 
     @property
     def request_written(self) -> bool:
-        """Whether the last byte of the current request has left this process."""
+        """Whether the complete current request has been written to the socket."""
         return self._request_written
 
     def send_request(self, data: bytes, exchange: Exchange) -> None:
-        """Start an exchange on a `reusable` connection; `data` is the whole request."""
+        """Start an exchange on a `reusable` connection; `data` is the complete encoded request."""
         assert self._transport is not None
         assert self._exchange is None
         self._exchange = exchange
         self._parser.start_response()
         self._transport.write(data)
-        # Guard: a write that fails at once empties the buffer and closes the transport, although no byte has
-        # left. A closing transport therefore counts as not written.
+        # A write that fails at once empties the buffer and closes the transport, although no byte is sent. A
+        # request on a closing transport therefore counts as not written.
         self._request_written = (
             not self._transport.is_closing() and not self._transport.get_write_buffer_size()
         )
 
     def abort(self) -> None:
-        """Close at once, and discard unsent bytes. The exchange, if there is one, is not called any more."""
+        """Close at once and discard unsent bytes; the exchange, if any, gets no further callback."""
         self._exchange = None
         self._ended = True
         if self._transport is not None:
-            # Guard: asyncio closes the socket one turn later, after the requests that this turn sends
-            # elsewhere, so that an abandoned attempt and the next one would be open together. The sending
-            # side is shut down at once.
+            # asyncio closes the socket in the next iteration of the event loop, after the requests that are
+            # sent on other connections in this one, so that an abandoned attempt and the next one would be
+            # open at the same time. The sending side is therefore shut down at once.
             with contextlib.suppress(OSError):
                 self._transport.get_extra_info("socket").shutdown(socket.SHUT_WR)
             self._transport.abort()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport, and have it report when its buffer is empty."""
+        """Store the transport, and have it report when its write buffer is empty."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        # Guard: asyncio discards its buffer before it calls `connection_lost`, so that the buffer can't be
-        # asked then. With a limit of 0, `resume_writing` reports that the buffer is empty.
+        # asyncio discards its write buffer before it calls `connection_lost`, so that its size no longer
+        # shows whether the request was written. With a limit of 0, `resume_writing` reports an empty buffer.
         transport.set_write_buffer_limits(high=0)
 
     def resume_writing(self) -> None:
-        """Record that the last byte of the request has left."""
+        """Record that the complete request has been written to the socket."""
         self._request_written = True
 
     def data_received(self, data: bytes) -> None:
@@ -129,7 +129,7 @@
 
     def _deliver_response(self, exchange: Exchange) -> None:
         self._exchange = None
-        # A server that responds before it has the whole request leaves the rest on the connection.
+        # If the server responds early, the unsent rest of the request would precede the next request.
         if self._parser.unusable or not self._request_written:
             self.abort()
         exchange.on_response(self._parser.response)
