--- a/loadbalancer/http/connection_registry.py
+++ b/loadbalancer/http/connection_registry.py
@@ -1,4 +1,4 @@
-"""Counts the open downstream connections, and keeps those without an open request by their phase."""
+"""Registry of the open downstream connections; groups those without an open request by phase."""
 
 from __future__ import annotations
 
@@ -7,31 +7,31 @@
 
 
 class RegisteredConnection(Protocol):
-    """A downstream connection, as the registry, eviction and the time-outs see it."""
+    """The interface of a downstream connection for the registry, eviction and the time-outs."""
 
-    identified: bool  # whether a request on it has had a response other than 4xx
+    identified: bool  # whether the client has received a response other than 4xx on this connection
     phase: ConnectionPhase | None  # None while a request is open; written by the registry
-    phase_since: float  # the event loop's time at which `phase` was last set, in seconds
+    phase_since: float  # the event loop's time of the latest change of `phase`, in seconds
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes of responses that wait for the client to read."""
+        """Bytes of responses that are not sent yet because the client reads too slowly."""
 
     def close_if_idle(self, *, abort_partial_unidentified: bool = False) -> bool:
-        """Abort the connection if that loses nothing, and return whether it did."""
+        """Abort the connection if no data is lost by it; return whether it is aborted."""
 
     def expire(self) -> None:
-        """End the connection because a request, or the rest of one, has not arrived in time."""
+        """End the connection because the time-out of its phase has passed."""
 
     def abort(self) -> None:
-        """Close at once, and discard unsent bytes."""
+        """Close at once and discard unsent bytes."""
 
 
 class ConnectionPhase:
-    """The connections in one phase, of those that have no open request.
+    """The connections that are in one phase.
 
-    A connection awaits a request, is idle between two, or lingers after its last response. It is in one phase
-    at most.
+    A connection without an open request awaits one, is idle between two, or lingers after its last response.
+    A connection is in at most one phase, and in none while a request is open.
     """
 
     __slots__ = ("connections",)
@@ -43,7 +43,7 @@
         return len(self.connections)
 
     def entered_until(self, latest: float) -> list[RegisteredConnection]:
-        """The connections that entered the phase no later than `latest`, by the event loop's time."""
+        """Return the connections that have been in the phase since `latest` (event loop time) or earlier."""
         overdue = []
         for connection in self.connections:
             if connection.phase_since > latest:
@@ -56,12 +56,12 @@
     """The open downstream connections of one listener.
 
     Attributes:
-        limit: Connections that may be open; exceeding it makes the listener evict.
+        limit: Maximum number of open connections; beyond it the listener evicts connections.
         clock: Returns the event loop's time in seconds.
         connections: All open connections.
         awaiting_request: The phase before the first request, and while a request is partly received.
-        idle: The phase between two requests of an identified client, which had a response other than 4xx.
-        lingering: The phase after the last response, in which what the client still sends is dropped.
+        idle: The phase between two requests of an identified client.
+        lingering: The phase after the last response, in which received bytes are discarded.
     """
 
     def __init__(self, limit: int, clock: Callable[[], float]) -> None:
@@ -78,16 +78,16 @@
         return len(self.connections) > self.limit
 
     def add(self, connection: RegisteredConnection) -> None:
-        """Count a new connection; it is in no phase yet."""
+        """Add a new connection, which is in no phase yet."""
         self.connections.add(connection)
 
     def remove(self, connection: RegisteredConnection) -> None:
-        """Stop counting a connection; no effect if it is not counted."""
+        """Remove a connection; no effect if it is not registered."""
         self.move_to_phase(connection, None)
         self.connections.discard(connection)
 
     def move_to_phase(self, connection: RegisteredConnection, phase: ConnectionPhase | None) -> None:
-        """Move an open connection to a phase, None while a request is open; no effect if it is in it."""
+        """Move an open connection to a phase, None while a request is open; no effect if already in it."""
         previous = connection.phase
         if previous is phase or connection not in self.connections:
             return
@@ -99,6 +99,6 @@
         connection.phase_since = self.clock()
 
     def close_idle(self) -> None:
-        """Close the connections that carry no request."""
+        """Close the connections that await a request or are idle, unless data would be lost."""
         for connection in [*self.awaiting_request.connections, *self.idle.connections]:
             connection.close_if_idle()
--- a/loadbalancer/http/eviction.py
+++ b/loadbalancer/http/eviction.py
@@ -1,4 +1,4 @@
-"""Closes connections that carry no request, so that the number of connections keeps within the limit."""
+"""Closes connections without an open request to keep the number of connections within the limit."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 from loadbalancer.http.connection_registry import ConnectionRegistry
 
-IDLE_GRACE_S = 2.0  # for which an idle connection is not evicted, unless a request needs its place
+IDLE_GRACE_S = 2.0  # idle time before a new connection may evict one; a request may evict it earlier
 MAX_CANDIDATES_EXAMINED = 16  # connections of each phase that one eviction examines
 
 
 def evict_over_limit(registry: ConnectionRegistry, idle_grace_s: float) -> bool:
-    """Evict connections until the limit is kept; return whether it is.
+    """Evict connections until their number is within the limit; return False if that can't be reached.
 
     Connections of identified clients that have been idle for less than `idle_grace_s` seconds stay open.
     """
@@ -22,7 +22,7 @@
 
 
 def evict_one(registry: ConnectionRegistry, idle_grace_s: float) -> bool:
-    """Evict the connection whose loss matters least; return False if none can be evicted."""
+    """Evict the connection whose loss harms clients least; return False if none can be evicted."""
     return (
         _evict_finished(registry)
         or _evict_unidentified(registry)
@@ -41,9 +41,9 @@
 
 
 def _evict_unidentified(registry: ConnectionRegistry) -> bool:
-    """Close the connection of a client that has had no response other than 4xx on it."""
-    # Guard: identified clients that write slowly come first in this phase, and a few of them would use up the
-    # examined candidates. They are filtered out before the candidates are counted.
+    """Close a connection whose client has received no response other than 4xx on it."""
+    # Identified clients that send a request slowly come first in this phase, and a few of them would use up
+    # the examined candidates. They are therefore filtered out before the candidates are counted.
     unidentified = (
         connection for connection in registry.awaiting_request.connections if not connection.identified
     )
@@ -54,7 +54,7 @@
 
 
 def _evict_longest_idle(registry: ConnectionRegistry, grace_s: float) -> bool:
-    """Close the connection that has been idle for longest, past its grace period."""
+    """Close the connection with the longest idle time, if that is at least the grace period."""
     latest = registry.clock() - grace_s
     for connection in islice(registry.idle.connections, MAX_CANDIDATES_EXAMINED):
         if connection.phase_since <= latest and connection.close_if_idle():
@@ -63,7 +63,7 @@
 
 
 def _evict_unread(registry: ConnectionRegistry) -> bool:
-    """Abort a connection whose client is still reading its last response."""
+    """Abort the connection that lingers longest, although its client is still reading the last response."""
     for connection in registry.lingering.connections:
         connection.abort()
         return True
--- a/loadbalancer/http/listener.py
+++ b/loadbalancer/http/listener.py
@@ -14,21 +14,21 @@
 from loadbalancer.http.request_timeouts import RequestTimeouts
 from loadbalancer.http.server_connection import ServerConnection
 
-ACCEPT_BATCH_DIVISOR = 50  # an event loop turn accepts the limit divided by this, at most
+ACCEPT_BATCH_DIVISOR = 50  # a socket accepts at most the limit divided by this per event loop iteration
 EXCESS_ACCEPT_BATCHES = 3  # accept batches by which connections may exceed the limit when none can be evicted
 
 
 class HttpListener:
     """Listens on any number of sockets under one connection limit.
 
-    `on_request` is called with each complete request, except those for readiness, which get their response
-    here: 200 while `ready` is set, else 503. While `draining` is set, or the limit is exceeded, each response
-    closes its connection.
+    `on_request` is called with each complete request, except readiness requests: the connection itself
+    responds to these, with 200 while `ready` is set, else 503. While `draining` is set, or the limit is
+    exceeded, each response closes its connection.
 
     Attributes:
         registry: The open connections by phase.
         timeouts: Ends connections that exceed the time-out of their phase.
-        accept_batch: Connections accepted in one event loop turn, per listening socket.
+        accept_batch: Maximum number of connections accepted per event loop iteration and listening socket.
     """
 
     def __init__(self, limit: int, on_request: Callable[[HttpRequest], None]) -> None:
@@ -43,7 +43,7 @@
 
     @property
     def limit(self) -> int:
-        """Connections that may be open."""
+        """Maximum number of open connections."""
         return self.registry.limit
 
     @property
@@ -67,7 +67,7 @@
         return self._listening.sockets
 
     async def listen(self, host: str, port: int, context: object = None) -> Address:
-        """Open one more listening socket under the common connection limit, and start the time-outs.
+        """Open another listening socket under the common connection limit, and start the time-outs.
 
         Each connection that this socket accepts carries `context`. Returns the address, with the port that
         the kernel chose where `port` is 0.
@@ -80,11 +80,11 @@
         return address
 
     async def stop_listening(self) -> None:
-        """Accept the connections in the kernel's queues, which may hold requests, and stop accepting."""
+        """Accept the connections in the kernel's queues, which may carry requests, then stop accepting."""
         await self._listening.drain()
 
     def close_listening_sockets(self) -> None:
-        """Stop accepting at once; connections that only the kernel has accepted are reset."""
+        """Stop accepting at once; connections in the kernel's queues are reset."""
         self._listening.close()
 
     def close(self) -> None:
@@ -93,23 +93,23 @@
         self.timeouts.stop()
 
     def close_idle_connections(self) -> None:
-        """Close the connections that carry no request."""
+        """Close the connections that await a request or are idle, unless data would be lost."""
         self.registry.close_idle()
 
     def ensure_capacity(self, grace_s: float = IDLE_GRACE_S) -> bool:
-        """Evict connections that carry no request until the limit is kept; return whether it is.
+        """Evict connections without an open request until the limit is met; return False if it can't be.
 
         Connections of identified clients that have been idle for less than `grace_s` seconds stay open.
         """
         return evict_over_limit(self.registry, grace_s)
 
     def connection_opened(self, connection: ServerConnection) -> None:
-        """Count a new connection, and evict another or abort this one where the limit demands it."""
+        """Register a new connection; evict another or abort the new one if the limit requires it."""
         registry = self.registry
         registry.add(connection)
-        # Guard: asyncio never stops accepting. When every candidate for eviction has bytes waiting to be
-        # read, nothing can be evicted, and accepted connections would use up the descriptors that discovery
-        # needs. Beyond a fixed excess a new connection is therefore aborted.
+        # asyncio never stops accepting. If every candidate for eviction has unread bytes, nothing can be
+        # evicted, and accepted connections would use up the descriptors that discovery needs. Beyond a fixed
+        # excess a new connection is therefore aborted.
         highest = registry.limit + EXCESS_ACCEPT_BATCHES * self.accept_batch
         if not self.ensure_capacity() and len(registry.connections) > highest:
             connection.abort()
--- a/loadbalancer/http/message_sizes.py
+++ b/loadbalancer/http/message_sizes.py
@@ -1,4 +1,4 @@
-"""The largest sizes of HTTP messages that are parsed, for requests and responses alike, in bytes."""
+"""Size limits of parsed HTTP messages in bytes, for requests and responses alike."""
 
 from __future__ import annotations
 
--- a/loadbalancer/http/request.py
+++ b/loadbalancer/http/request.py
@@ -1,4 +1,4 @@
-"""A request as a server receives it, and the connection that its response goes to. No I/O."""
+"""A received request and the interface of the connection that carries its response. No I/O."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class RequestConnection(Protocol):
-    """The downstream connection of a request, as the owner of the request sees it."""
+    """The interface of a request's downstream connection for the code that handles the request."""
 
     @property
     def context(self) -> object:
@@ -16,29 +16,29 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether the connection has been neither lost nor aborted."""
+        """Whether the connection is neither lost nor aborted."""
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes of responses that wait for the client to read."""
+        """Bytes of responses that are not sent yet because the client reads too slowly."""
 
     @property
     def client_disconnected(self) -> bool:
         """Whether the client has disconnected, even if the event loop has not delivered that yet."""
 
     def abort(self) -> None:
-        """Close at once, and discard unsent bytes."""
+        """Close at once and discard unsent bytes."""
 
     def respond(self, request: HttpRequest, status: int, body: bytes, retry_after_ms: float) -> None:
-        """Write the response to the first request of the connection; at most once for each request."""
+        """Write the response to the oldest open request of the connection; at most once for each request."""
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class HttpRequest:
-    """One complete request and the connection that its response goes to."""
+    """One request and the connection that carries its response."""
 
     connection: RequestConnection = field(init=False)  # set when the request is dispatched
-    received_at: float = 0.0  # the event loop's time of its last byte, in seconds
+    received_at: float = 0.0  # the event loop's time in seconds at which the last byte is parsed
     method: bytes = b""
     target: bytes = b""
     headers: dict[bytes, bytes] = field(default_factory=dict)  # by lower-case name
@@ -54,13 +54,13 @@
         return self.connection.client_disconnected
 
     def respond(self, status: int, body: bytes = b"", retry_after_ms: float = 0.0) -> None:
-        """Send the final response; no effect if the request has had one.
+        """Send the final response; no effect if the request already has one.
 
         A `retry_after_ms` above 0 is sent as Retry-After.
         """
         if not self.responded:
             self.responded = True
-            self.on_disconnect = None  # it refers to what refers to this request
+            self.on_disconnect = None  # it may refer back to this request, which would form a reference cycle
             self.connection.respond(self, status, body, retry_after_ms)
 
     def cancel(self) -> None:
