--- a/loadbalancer/http/client_connection.py
+++ b/loadbalancer/http/client_connection.py
@@ -95,8 +95,8 @@
         """Store the transport, and have it report when its write buffer is empty."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        # asyncio discards its write buffer before it calls `connection_lost`, so that its size no longer
-        # shows whether the request was written. With a limit of 0, `resume_writing` reports an empty buffer.
+        # asyncio discards its write buffer before it calls `connection_lost`, so that its size does not show
+        # then whether the request is written. With a limit of 0, `resume_writing` reports an empty buffer.
         transport.set_write_buffer_limits(high=0)
 
     def resume_writing(self) -> None:
--- a/loadbalancer/http/connection_registry.py
+++ b/loadbalancer/http/connection_registry.py
@@ -9,7 +9,7 @@
 class RegisteredConnection(Protocol):
     """The interface of a downstream connection for the registry, eviction and the time-outs."""
 
-    identified: bool  # whether the client has received a response other than 4xx on this connection
+    identified: bool  # whether a response other than 4xx has been written to the connection
     phase: ConnectionPhase | None  # None while a request is open; written by the registry
     phase_since: float  # the event loop's time of the latest change of `phase`, in seconds
 
@@ -21,7 +21,7 @@
         """Abort the connection if no data is lost by it; return whether it is aborted."""
 
     def expire(self) -> None:
-        """End the connection because the time-out of its phase has passed."""
+        """End the connection on the time-out of its phase, with 408 if a request is partly received."""
 
     def abort(self) -> None:
         """Close at once and discard unsent bytes."""
--- a/loadbalancer/http/eviction.py
+++ b/loadbalancer/http/eviction.py
@@ -41,7 +41,7 @@
 
 
 def _evict_unidentified(registry: ConnectionRegistry) -> bool:
-    """Close a connection whose client has received no response other than 4xx on it."""
+    """Close a connection to which no response other than 4xx has been written."""
     # Identified clients that send a request slowly come first in this phase, and a few of them would use up
     # the examined candidates. They are therefore filtered out before the candidates are counted.
     unidentified = (
