--- a/loadbalancer/http/request_parser.py
+++ b/loadbalancer/http/request_parser.py
@@ -16,8 +16,8 @@
 SUPPORTED_VERSIONS = ("1.1", "1.0")
 TARGET_PATTERN = re.compile(rb"/[\x21-\x7e]*")
 
-# Guard: when a header occurs twice, the server could read one value, and a server that the request is
-# forwarded to the other. A second occurrence of any header that either of them reads is therefore a fault.
+# If a header occurs twice, this server may use one value and a server that the request is forwarded to the
+# other. A second occurrence of any header that either of them reads is therefore a fault.
 SINGLE_VALUE_HEADERS = frozenset(
     b"host req-id idempotency-key req-owner req-retry req-cost req-extra req-deadline-ms".split()
     + b"accept content-type content-encoding content-length transfer-encoding expect".split()
@@ -25,20 +25,20 @@
 
 
 class _OversizedRequestError(Exception):
-    """Raised in a parser callback to stop the parser; never leaves `RequestParser.feed`."""
+    """Raised in a parser callback to stop the parser, and handled in `RequestParser.feed`."""
 
 
 class RequestParser:
     """Parses one connection's byte stream into requests, within the size limits.
 
-    After a fault nothing more of the stream is parsed: the owner of the connection responds to the requests
-    that were complete before it, then sends the fault's status and closes.
+    After a fault the rest of the stream is not parsed: the owner of the connection responds to the complete
+    requests that precede it, then sends the fault's status and closes the connection.
 
     Attributes:
         requests: The complete requests, oldest first; the owner removes a request when it has responded.
-        partial: The request that is partly received, None without one.
-        fault: The status of the response to the first part of the stream that is not a valid request.
-        continue_expected: Whether the client waits for an interim response; reset by the owner.
+        partial: The partly received request, or None.
+        fault: The status of the response to the first part of the stream that isn't a valid request, or None.
+        continue_expected: Whether the client waits for `100 Continue`; reset by the owner.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
@@ -50,7 +50,7 @@
         self.continue_expected = False
         self._in_head = False
         self._section_bytes = 0  # counted against the limit of the head or of the body
-        self._head_bytes = 0  # received in the reads in which a head stayed incomplete
+        self._head_bytes = 0  # received in the reads that end within a head
 
     def feed(self, data: bytes) -> None:
         """Parse the next bytes; must not be called after `close`. Raises nothing."""
@@ -59,9 +59,9 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self._fail(HTTPStatus.BAD_REQUEST)
         if self._in_head:
-            # Guard: the parser reports a header only once it is complete, so that an endless header would
-            # never be counted. The bytes of each read are counted as well; the first of these reads may also
-            # hold the body of the previous request.
+            # The parser reports a header only once it is complete, so that an endless header would never be
+            # counted. The bytes of each read are therefore counted as well; the limit includes a body,
+            # because the first of these reads may also hold the body of the previous request.
             self._head_bytes += len(data)
             if self._head_bytes > MAX_HEAD_BYTES + MAX_BODY_BYTES:
                 self._fail(HTTPStatus.BAD_REQUEST)
@@ -74,8 +74,8 @@
 
     def close(self) -> None:
         """Release the parser when the connection is lost."""
-        # Guard: the two parsers refer to each other, and the garbage collector rarely visits old objects.
-        # Deleting one reference frees both at once.
+        # This parser and that of httptools refer to each other, and the garbage collector rarely examines
+        # old objects. Deleting one of the references frees both at once.
         del self._parser
 
     def _fail(self, status: HTTPStatus) -> None:
@@ -84,8 +84,8 @@
 
     def _fail_oversized(self, status: HTTPStatus) -> None:
         self._fail(status)
-        # Guard: nothing is read after a fault, but the parser would still report the rest of each read of an
-        # endless head, up to 30,000 headers. An error in a callback stops it, as an error of its own does.
+        # No data is parsed after a fault, but httptools would still report the rest of the current read, up
+        # to 30,000 headers of an endless head. An exception in a callback stops it, as its own errors do.
         raise _OversizedRequestError
 
     def on_message_begin(self) -> None:
@@ -111,13 +111,13 @@
         if request is None or self.fault is not None:
             return
         name = name.lower()
-        # Guard: a trailer could overwrite a header of the head that has already been checked. It is a fault.
+        # A trailer could overwrite a header that is already checked, and is therefore a fault.
         if not self._in_head or (name in SINGLE_VALUE_HEADERS and name in request.headers):
             self.fault = HTTPStatus.BAD_REQUEST
         request.headers[name] = value
 
     def on_headers_complete(self) -> None:
-        """Check the head as a whole."""
+        """Check the framing, target, version and expectation that the complete head declares."""
         self._in_head = False
         request = self.partial
         if request is None or self.fault is not None:
@@ -125,8 +125,8 @@
         self._section_bytes = 0
         headers = request.headers
         length, coding = headers.get(b"content-length"), headers.get(b"transfer-encoding")
-        # Guard: with both a length and a coding, two readers may disagree on where the request ends, so that
-        # one of them sees a second request (request smuggling). Only one of the two, or none, is accepted.
+        # With both a length and a coding, two readers may disagree on where the request ends, so that one of
+        # them parses a second request (request smuggling). Only one of the two, or none, is accepted.
         if coding is not None and (length is not None or coding.lower() != b"chunked"):
             self.fault = HTTPStatus.BAD_REQUEST
         elif length is not None and int(length) > MAX_BODY_BYTES:
@@ -147,15 +147,15 @@
             self.partial.body += body
 
     def on_message_complete(self) -> None:
-        """Queue the request, unless too much is queued already."""
+        """Queue the complete request, unless the queue has reached its limit."""
         request, self.partial = self.partial, None
         if request is None or self.fault is not None:
             return
         request.received_at = self._clock()
         request.method = self._parser.get_method()
         request.keep_alive = self._parser.should_keep_alive()
-        # Guard: a client that pipelines requests without end would fill the memory. Their number and the sum
-        # of their bodies are bounded.
+        # A client that pipelines requests without end would exhaust the memory. Their number and the sum of
+        # their bodies are therefore limited.
         if (
             len(self.requests) >= MAX_PIPELINED_REQUESTS
             or sum(len(queued.body) for queued in self.requests) > MAX_BODY_BYTES
--- a/loadbalancer/http/request_timeouts.py
+++ b/loadbalancer/http/request_timeouts.py
@@ -1,4 +1,4 @@
-"""Ends, at intervals, the connections that exceed the time-out of their phase."""
+"""Periodically ends the connections that exceed the time-out of their phase."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 REQUEST_TIMEOUT_S = 2.5  # for a complete request, from connecting or from its first byte
 IDLE_TIMEOUT_S = 8.0  # after which an idle connection is closed
-LINGER_TIMEOUT_S = 0.5  # for which bytes that a client sends after its last response are read and dropped
+LINGER_TIMEOUT_S = 0.5  # for which bytes from a client after its last response are read and discarded
 UNREAD_TIMEOUT_S = 8.0  # after which a last response that its client does not read is truncated
 SWEEP_INTERVAL_S = 0.1
 
@@ -22,7 +22,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Start the sweeps, with one at once; no effect if they have been started before."""
+        """Run the first sweep at once and schedule the next ones; no effect after the first call."""
         if self._timer is None:
             self._sweep()
 
@@ -40,8 +40,8 @@
         for connection in registry.idle.entered_until(now - IDLE_TIMEOUT_S):
             connection.expire()
         for connection in registry.lingering.entered_until(now - LINGER_TIMEOUT_S):
-            # Guard: ending the connection truncates a last response that its client reads slowly. Such a
-            # client gets the longer time-out.
+            # Ending the connection truncates a last response that its client reads slowly. A connection with
+            # unsent bytes therefore has the longer time-out.
             if not connection.unsent_bytes or connection.phase_since <= now - UNREAD_TIMEOUT_S:
                 connection.abort()
 
--- a/loadbalancer/http/response_parser.py
+++ b/loadbalancer/http/response_parser.py
@@ -22,13 +22,13 @@
 
 
 class ResponseParser:
-    """Parses the response to one request after another.
+    """Parses the responses to successive requests on one connection.
 
     Attributes:
         response: The response to the current request.
         complete: Whether the response has been received in full.
-        unusable: Whether the connection must not carry another request: a response exceeds a limit, is
-            malformed, forbids another request, or can be ended only by the end of the connection.
+        unusable: Whether the connection must not be used for another request: a response exceeds a limit, is
+            malformed, announces the end of the connection, or has a body that only this end delimits.
     """
 
     def __init__(self, max_body_bytes: int) -> None:
@@ -39,10 +39,10 @@
         self._parser = httptools.HttpResponseParser(self)
         self._in_head = True
         self._section_bytes = 0  # counted against the limit of the head or of the body
-        self._head_bytes = 0  # received in the reads in which a head stayed incomplete
+        self._head_bytes = 0  # received in the reads that end within a head
 
     def start_response(self) -> None:
-        """Expect the response to the next request."""
+        """Reset the state before the response to the next request."""
         self.response = HttpResponse()
         self.complete = False
         self._in_head = True
@@ -55,19 +55,19 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self.unusable = True
         if self._in_head:
-            # Guard: the parser reports a header only once it is complete, so that an endless header would
-            # never be counted. The bytes of each read are counted as well, interim responses included.
+            # The parser reports a header only once it is complete, so that an endless header would never be
+            # counted. The bytes of each read are therefore counted as well, interim responses included.
             self._head_bytes += len(data)
             self.unusable = self.unusable or self._head_bytes > MAX_HEAD_BYTES
 
     def close(self) -> None:
         """Release the parser when the connection is lost."""
-        # Guard: the two parsers refer to each other, and the garbage collector rarely visits old objects.
-        # Deleting one reference frees both at once.
+        # This parser and that of httptools refer to each other, and the garbage collector rarely examines
+        # old objects. Deleting one of the references frees both at once.
         del self._parser
 
     def on_message_begin(self) -> None:
-        """Refuse a second response to one request; like the other `on_` methods, called by httptools."""
+        """Reject a second response to one request; like the other `on_` methods, called by httptools."""
         if self.complete:
             self.unusable = True
 
@@ -80,16 +80,16 @@
             self.response.headers[name.lower()] = value
 
     def on_headers_complete(self) -> None:
-        """Check the length of the body that the head of a final response declares."""
+        """Check the body length that the head of a final response declares."""
         self._section_bytes = 0
         if self.complete or self._parser.get_status_code() < FIRST_FINAL_STATUS:
             return
         self._in_head = False
         headers = self.response.headers
         length = headers.get(b"content-length")
-        # Guard: a body that is declared too long is not worth waiting for. A body without a declared length
-        # ends with the connection, so that a complete one can't be told from a truncated one. Both are
-        # refused.
+        # A body whose declared length exceeds the limit would be received in vain. A body without a declared
+        # length ends with the connection, so that a complete one can't be distinguished from a truncated
+        # one. Both are rejected.
         if length is None:
             self.unusable = self.unusable or b"transfer-encoding" not in headers
         elif b"transfer-encoding" in headers or int(length) > self._max_body_bytes:
--- a/loadbalancer/http/server_connection.py
+++ b/loadbalancer/http/server_connection.py
@@ -1,4 +1,4 @@
-"""One downstream connection: dispatches its requests in turn and writes the response to each."""
+"""One downstream connection: dispatches its requests one at a time and writes the response to each."""
 
 from __future__ import annotations
 
@@ -19,40 +19,40 @@
 
 
 class ConnectionOwner(Protocol):
-    """The listener of a connection, as the connection sees it."""
+    """The interface of a connection's listener."""
 
     loop: asyncio.AbstractEventLoop
     registry: ConnectionRegistry
     on_request: Callable[[HttpRequest], None]
-    ready: bool  # the response to a readiness request
+    ready: bool  # whether a readiness request gets the status 200, not 503
     draining: bool  # whether each response closes its connection
 
     def connection_opened(self, connection: ServerConnection) -> None:
-        """Count a new connection, which may be aborted by that."""
+        """Register a new connection, or abort it if the limit requires that."""
 
 
 class ServerConnection(asyncio.Protocol):
-    """The server's end of a connection. Pipelined requests get their responses one after the other."""
+    """The server side of a connection. Pipelined requests get their responses one after the other."""
 
     def __init__(self, owner: ConnectionOwner, context: object = None) -> None:
         self.context = context  # of the listening socket that accepted this connection
-        self.identified = False  # whether a request on it has had a response other than 4xx
+        self.identified = False  # whether a response other than 4xx has been written to the connection
         self.phase: ConnectionPhase | None = None  # None while a request is open; written by the registry
-        self.phase_since = 0.0  # the event loop's time at which `phase` was last set, in seconds
+        self.phase_since = 0.0  # the event loop's time of the latest change of `phase`, in seconds
         self._owner = owner
         self._registry = owner.registry
-        self._transport: asyncio.Transport  # set when the connection is made
+        self._transport: asyncio.Transport  # set in `connection_made`
         self._parser = RequestParser(owner.loop.time)
         self._closing = False  # the last response has been written, or the client has disconnected
 
     @property
     def is_open(self) -> bool:
-        """Whether the registry still counts this connection: neither lost nor aborted."""
+        """Whether the connection is in the registry, that is, neither lost nor aborted."""
         return self in self._registry.connections
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes of responses that wait for the client to read."""
+        """Bytes of responses that are not sent yet because the client reads too slowly."""
         return self._transport.get_write_buffer_size()
 
     @property
@@ -61,27 +61,27 @@
         return self._transport.is_closing() or peer_has_closed(self._transport)
 
     def close_if_idle(self, *, abort_partial_unidentified: bool = False) -> bool:
-        """Abort the connection if that loses nothing, and return whether it did.
+        """Abort the connection if no data is lost by it; return whether it is aborted.
 
-        It stays open with a request open or partly received, with unsent bytes, or with bytes that wait to be
-        read. With `abort_partial_unidentified` a partly received request of an unidentified client is lost.
+        It stays open if a request is open or partly received, or if there are unsent or unread bytes. With
+        `abort_partial_unidentified` a partly received request of an unidentified client is discarded.
         """
         parser = self._parser
         partial = parser.partial is not None and (self.identified or not abort_partial_unidentified)
-        # Guard: closing discards the part of a response that a slow client has not read yet.
+        # Aborting discards the part of a response that a slow client has not read yet.
         if parser.requests or partial or self.unsent_bytes or has_unread_data(self._transport):
             return False
         self.abort()
         return True
 
     def abort(self) -> None:
-        """Close at once, and discard unsent bytes."""
+        """Close at once and discard unsent bytes."""
         self._closing = True
         self._registry.remove(self)
         self._transport.abort()
 
     def expire(self) -> None:
-        """End the connection because a request, or the rest of one, has not arrived in time."""
+        """End the connection on the time-out of its phase, with 408 if a request is partly received."""
         if self._closing:
             self.abort()
         elif self._parser.partial is not None:
@@ -90,7 +90,7 @@
             self.close_if_idle()
 
     def respond(self, request: HttpRequest, status: int, body: bytes, retry_after_ms: float) -> None:
-        """Write the response to the first request; no effect for another, or on a closing connection."""
+        """Write the response to the oldest request; no effect for another, or on a closing connection."""
         parser, registry = self._parser, self._registry
         requests = parser.requests
         if self._transport.is_closing() or not requests or requests[0] is not request:
@@ -119,7 +119,7 @@
         """Parse the received bytes and dispatch the first request."""
         parser, registry = self._parser, self._registry
         if self._closing or (parser.fault is not None and parser.requests):
-            return  # read and dropped, so that no reset discards a response and a disconnect is noticed
+            return  # bytes left unread would reset the connection at its end, and hide a disconnect
         parser.feed(data)
         if parser.continue_expected:
             parser.continue_expected = False
@@ -130,16 +130,16 @@
         elif parser.fault is not None:
             self._respond_to_fault(parser.fault)
         elif parser.partial is not None:
-            # Guard: a client that keeps sending single bytes would hold its connection open without end. One
-            # time-out covers the whole request, and only its first byte restarts it.
+            # A client that keeps sending single bytes would hold its connection open without end. One
+            # time-out therefore covers the complete request, and only its first byte restarts it.
             registry.move_to_phase(self, registry.awaiting_request)
 
     def eof_received(self) -> bool:
-        """Treat the end of the client's stream as its disconnect."""
+        """Treat the end of the client's stream as a disconnect."""
         self._closing = True
         self._parser.cancel_requests()
-        # Guard: asyncio reports a lost connection only after all bytes are written, which never happens if
-        # the client reads no response. Its requests therefore end here, and the connection by a time-out.
+        # asyncio reports a lost connection only after all bytes are written, which never happens if the
+        # client does not read. Its requests are therefore cancelled here, and a time-out ends the connection.
         if self.unsent_bytes:
             self._registry.move_to_phase(self, self._registry.lingering)
         return False
@@ -152,7 +152,7 @@
         self._parser.cancel_requests()
 
     def _dispatch(self) -> None:
-        """Pass on the first complete request, if there is one that has not been passed on."""
+        """Dispatch the oldest complete request, unless it is already dispatched."""
         requests = self._parser.requests
         if self._closing or not requests or requests[0].dispatched:
             return
@@ -171,8 +171,8 @@
 
     def _close_after_response(self) -> None:
         """Shut down the sending side and linger."""
-        # Guard: closing a socket with unread bytes resets the connection, and the client loses the response.
-        # What the client still sends is read and dropped for a while.
+        # Closing a socket with unread bytes resets the connection, and the client loses the response. Bytes
+        # that the client still sends are therefore read and discarded until the time-out of the phase.
         self._closing = True
         if not self._transport.is_closing():
             if self._transport.can_write_eof():
--- a/loadbalancer/http/socket_state.py
+++ b/loadbalancer/http/socket_state.py
@@ -1,4 +1,4 @@
-"""The state of a socket in the kernel, before the event loop has delivered it."""
+"""The state of a socket in the kernel, which the event loop may not have delivered yet."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def peer_has_closed(transport: asyncio.BaseTransport) -> bool:
-    """Whether the peer has shut down its sending side or the connection, even behind unread bytes."""
+    """Whether the peer has shut down its sending side or the connection, even if bytes are still unread."""
     return _has_event(transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
 
 
