--- a/loadbalancer/http/addresses.py
+++ b/loadbalancer/http/addresses.py
@@ -16,7 +16,7 @@
 
 
 class AddressError(ValueError):
-    """A text that is not an IP address and a port; `text` holds it."""
+    """Text that is not an IP address and a port; `text` holds it."""
 
     def __init__(self, text: str, reason: str) -> None:
         super().__init__(reason)
@@ -32,17 +32,18 @@
     address = str(text)
     host, _, port = address.rpartition(":")
     if not port.isascii() or not port.isdigit() or int(port) > MAX_PORT:
-        raise AddressError(address, f"{text!r} is not an address and a port")
-    # Guard: a host name would be resolved in a thread, which can take any length of time. Only numeric
-    # addresses are accepted.
+        raise AddressError(address, f"{text!r} is not of the form host:port with a port from 0 to {MAX_PORT}")
+    # Resolving a host name would occupy a thread for an unbounded time. Only numeric addresses are accepted.
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     try:
         return Address(socket.inet_ntop(family, socket.inet_pton(family, host)), int(port))
     except OSError:
-        raise AddressError(address, f"{host!r} is not an address") from None
+        raise AddressError(
+            address, f"{host!r} is not an IPv4 or IPv6 address; host names and brackets are not accepted"
+        ) from None
 
 
 def socket_address(listening: socket.socket) -> Address:
-    """The address that a socket of an internet family is bound to."""
+    """Return the address that an IPv4 or IPv6 socket is bound to."""
     host, port = listening.getsockname()[:2]  # an IPv6 socket adds a flow label and a scope
     return Address(host, port)
