--- a/loadbalancer/settings.py
+++ b/loadbalancer/settings.py
@@ -10,11 +10,11 @@
 from dataclasses import dataclass
 from enum import Enum
 
-MIN_POSITIVE = 0.001  # the minimum of a setting that must be above zero
+MIN_POSITIVE = 0.001  # lower bound of a setting that must be positive
 
 
 class ConfigurationError(ValueError):
-    """A setting has an unusable value; the text is `field: problem`."""
+    """A setting has an invalid value; the message is one line, `field: problem`."""
 
     def __init__(self, field: str, problem: str) -> None:
         super().__init__(field, problem)
@@ -24,44 +24,44 @@
 
     @property
     def field(self) -> str:
-        """The path of the setting at fault, such as `classes[0].latency_objective_ms`."""
+        """The path of the invalid setting, such as `classes[0].latency_objective_ms`."""
         return str(self.args[0])
 
     @property
     def problem(self) -> str:
-        """What is wrong with its value, as text."""
+        """Why the value is invalid: what was found and what is expected."""
         return str(self.args[1])
 
 
 class Idempotency(Enum):
-    """What a second execution of a request does."""
+    """Whether a request may be executed more than once."""
 
-    IDEMPOTENT = "idempotent"  # no harm: it may be executed any number of times
-    KEYED = "keyed"  # nothing, while the deduplication scope remembers its idempotency key
-    NON_IDEMPOTENT = "non_idempotent"  # harm: it must never be executed twice
+    IDEMPOTENT = "idempotent"  # any number of executions has the effect of one
+    KEYED = "keyed"  # endpoints drop a repeat while they store its idempotency key
+    NON_IDEMPOTENT = "non_idempotent"  # a second execution would do harm: at most one is allowed
 
 
 class DeduplicationScope(Enum):
-    """The endpoints that share one record of idempotency keys."""
+    """The endpoints that share one store of idempotency keys, so that any of them drops a repeat."""
 
-    ALL = "all"
-    ZONE = "zone"
-    CELL = "cell"
+    ALL = "all"  # every endpoint
+    ZONE = "zone"  # the endpoints of one zone
+    CELL = "cell"  # the endpoints of one cell of a zone
 
 
 @dataclass(slots=True, frozen=True)
 class ServiceClass:
-    """A kind of request, with its latency objective, priority and idempotency."""
+    """A class of requests that have the same latency objective, priority and idempotency."""
 
     name: str
-    latency_objective_ms: float  # a response within this has the full value
-    client_timeout_ms: float  # the client waits this long, over all attempts
-    priority_weight: float = 1.0
-    late_weight: float = 0.0  # fraction of the priority weight of a response after the objective
+    latency_objective_ms: float  # a response within this time of the request has its full value
+    client_timeout_ms: float  # the client waits this long for the final response, over all attempts
+    priority_weight: float = 1.0  # value of a response; under overload, low weights are rejected first
+    late_weight: float = 0.0  # fraction of its value after the latency objective; 0: attempts stop there
     idempotency: Idempotency = Idempotency.NON_IDEMPOTENT
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
-    deduplication_window_ms: float = 0.0  # time for which the scope remembers an idempotency key
-    streaming: bool = False
+    deduplication_window_ms: float = 0.0  # how long endpoints store an idempotency key
+    streaming: bool = False  # responses are streamed; their attempts do not stop at the latency objective
 
 
 @dataclass(slots=True, frozen=True)
@@ -69,7 +69,7 @@
     """A customer of the service and its quota."""
 
     name: str
-    quota_per_s: float  # requests, over all replicas of this proxy together
+    quota_per_s: float  # requests per second, over all replicas of this proxy together
 
 
 @dataclass(slots=True, frozen=True)
@@ -82,27 +82,30 @@
 
     classes: tuple[ServiceClass, ...]
     tenants: tuple[Tenant, ...] = ()
-    zone: str = ""
-    tier: int = 0  # 0 is the tier that clients reach
-    replicas: int = 1  # proxies that send to this tier, this one included
-    polls_discovery: bool = False
-    weight_by_cost: bool = False  # weigh requests by their cost hint
-    over_quota_weight: float = 1.0  # factor of the priority weight of a request over its tenant's quota
-    load_report_fields: tuple[str, ...] = ()
-    can_cancel: bool = False
-    sends_retry_after: bool = False
-    max_retry_after_ms: float = 0.0
-    max_attempts: int = 1
+    zone: str = ""  # the zone of this proxy; endpoints in other zones rank worse by `cross_zone_price`
+    tier: int = 0  # 0: the entry tier, which clients reach; only it has quotas and sends Retry-After
+    replicas: int = 1  # number of proxies that send to this tier, including this one
+    polls_discovery: bool = (
+        False  # the policy starts each poll of discovery; else the host keeps a watch open
+    )
+    weight_by_cost: bool = False  # count a request in flight by its cost hint; else each counts 1
+    over_quota_weight: float = 1.0  # factor from 0 to 1 on the priority of requests over their tenant's quota
+    load_report_fields: tuple[str, ...] = ()  # names of the values in endpoints' load reports, in their order
+    can_cancel: bool = False  # cancel attempts in flight that their request no longer needs
+    sends_retry_after: bool = False  # reject with a Retry-After that grows with the load
+    max_retry_after_ms: float = 0.0  # upper bound of Retry-After
+    max_attempts: int = 1  # per request, including the first one
+    # Penalty of endpoints in other zones; 1 ranks one as if `CROSS_ZONE_ATTEMPTS` more were queued at it.
     cross_zone_price: float = 0.0
-    uses_capacity: bool = False  # use the capacities in the endpoint list; else all are equal
-    slow_start_initial_fraction: float = 1.0  # of its capacity, when an endpoint starts
-    slow_start_ms: float = 0.0  # time from its start to its full capacity
-    overload_factor: float = 2.0  # an endpoint in slow start fails at this multiple of its share
-    overload_window_ms: float = 1500.0  # if it lasts this long
+    uses_capacity: bool = False  # use the capacities in the endpoint list; else all endpoints count as equal
+    slow_start_initial_fraction: float = 1.0  # part of its capacity that an endpoint has when it starts
+    slow_start_ms: float = 0.0  # time after its start in which an endpoint's capacity rises to the full one
+    overload_factor: float = 2.0  # multiple of its share of attempts at which an endpoint in slow start fails
+    overload_window_ms: float = 1500.0  # time for which an endpoint must get that multiple before it fails
 
     def __post_init__(self) -> None:
         if not self.classes:
-            raise ConfigurationError("classes", "at least one class is needed")
+            raise ConfigurationError("classes", "expected at least one service class, found none")
         self._check_classes()
         for index, tenant in enumerate(self.tenants):
             _check_range(f"tenants[{index}].quota_per_s", tenant.quota_per_s, 0)
@@ -130,7 +133,7 @@
             if not isinstance(getattr(self, name), bool):
                 raise ConfigurationError(name, f"{getattr(self, name)!r} is not true or false")
         if not isinstance(self.zone, str):
-            raise ConfigurationError("zone", f"{self.zone!r} is not a text")
+            raise ConfigurationError("zone", f"{self.zone!r} is not a string")
 
     def _check_fractions(self) -> None:
         _check_range("overload_factor", self.overload_factor, MIN_POSITIVE)
@@ -141,10 +144,14 @@
 def _check_range(field: str, value: object, low: float, high: float = math.inf) -> None:
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
     if not is_number or not low <= value <= high or not math.isfinite(value):  # type: ignore[operator,arg-type]
-        raise ConfigurationError(field, f"{value!r} is not a number from {low} to {high}")
+        expected = f"a finite number, {low} or more" if math.isinf(high) else f"a number from {low} to {high}"
+        raise ConfigurationError(field, f"{value!r} is not {expected}")
 
 
 def _check_unique(field: str, names: Iterable[str]) -> None:
     listed = list(names)
     if len(set(listed)) != len(listed):
-        raise ConfigurationError(field, "a name occurs twice")
+        repeated = next(name for name in listed if listed.count(name) > 1)
+        raise ConfigurationError(
+            field, f"name {repeated!r} occurs {listed.count(repeated)} times, but names must be unique"
+        )
--- a/tests/policy/test_settings.py
+++ b/tests/policy/test_settings.py
@@ -36,4 +36,4 @@
     with pytest.raises(ConfigurationError) as raised:
         Settings(classes=(IDEMPOTENT_READ, IDEMPOTENT_READ))
     assert raised.value.field == "classes"
-    assert str(raised.value) == "classes: a name occurs twice"
+    assert str(raised.value) == "classes: name 'read' occurs 2 times, but names must be unique"
