--- a/loadbalancer/events.py
+++ b/loadbalancer/events.py
@@ -1,4 +1,4 @@
-"""Events that the policy takes.
+"""Events that the host, the proxy or the simulator adapter, delivers to the policy.
 
 Times are milliseconds on one monotonic clock.
 """
@@ -14,27 +14,27 @@
     """How an attempt ended."""
 
     OK = "ok"
-    ERROR = "error"
-    REJECTED = "rejected"
-    TIMEOUT = "timeout"
-    CONNECT_FAILED = "connect_failed"
-    RESET = "reset"
-    CANCELLED = "cancelled"
-    NOT_SENT = "not_sent"
+    ERROR = "error"  # a response that reports an error
+    REJECTED = "rejected"  # the endpoint declined the request without executing it
+    TIMEOUT = "timeout"  # no complete response within the time-out
+    CONNECT_FAILED = "connect_failed"  # the connection failed before the request was sent completely
+    RESET = "reset"  # the connection was lost after the request was sent
+    CANCELLED = "cancelled"  # stopped after the request was sent
+    NOT_SENT = "not_sent"  # dropped before anything was sent
 
     @property
     def not_processed(self) -> bool:
-        """Whether the result proves that the endpoint did not start to execute the request."""
+        """Whether the endpoint certainly did not start to execute the request, so that a retry is safe."""
         return self in (AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT)
 
     @property
     def measures_latency(self) -> bool:
-        """Whether the attempt's latency measures the endpoint's speed; that of a fast error does not."""
+        """Whether the latency of the attempt measures the speed of the endpoint; an error can be fast."""
         return self is AttemptResult.OK or self is AttemptResult.TIMEOUT
 
 
 class EndpointState(Enum):
-    """Whether an endpoint may get new attempts: only a ready one may."""
+    """State of an endpoint in the endpoint list; only a ready one gets new attempts."""
 
     READY = "up"
     DRAINING = "draining"
@@ -42,39 +42,39 @@
 
 
 class UpdateKind(Enum):
-    """The kind of a membership update: changes, a complete list, a cached list, or a failed watch."""
+    """What a membership update contains."""
 
-    DELTA = "delta"
-    COMPLETE = "full"
-    CACHED = "cached"
-    UNAVAILABLE = "failed"
+    DELTA = "delta"  # the endpoints that have changed
+    COMPLETE = "full"  # the whole endpoint list
+    CACHED = "cached"  # an endpoint list from an earlier time, in force until discovery responds
+    UNAVAILABLE = "failed"  # the watch or poll has failed; no endpoints
 
 
 @dataclass(slots=True)
 class Endpoint:
-    """One process in the endpoint list."""
+    """One server process in the endpoint list."""
 
     name: str
     zone: str = ""
-    cell: int = 0
+    cell: int = 0  # a group of endpoints within the zone
     state: EndpointState = EndpointState.READY
-    started_ms: float | None = None  # None: so long ago that it has warmed up
-    capacity: float = 1.0  # relative to the other endpoints, where `Settings.uses_capacity` is set
+    started_ms: float | None = None  # start of the process; None: not known, counts as warmed up
+    capacity: float = 1.0  # relative to the other endpoints; ignored unless `Settings.uses_capacity`
 
 
 @dataclass(slots=True)
 class LoadReport:
-    """An endpoint's report of its own load; None for a value that it does not report."""
+    """The load that an endpoint reports of itself; a value that it does not report is None."""
 
-    in_flight: float | None = None  # requests, from all replicas
-    queue: float | None = None  # requests that wait there
-    utilisation: float | None = None  # 1: at capacity
+    in_flight: float | None = None  # requests in flight at the endpoint, from all replicas
+    queue: float | None = None  # requests that wait at the endpoint
+    utilisation: float | None = None  # fraction of its capacity in use; 1: at capacity
 
     @classmethod
     def from_values(cls, values: Mapping[str, float]) -> LoadReport | None:
-        """The report with these values, named as in `Settings.load_report_fields`; None without values.
+        """Make a report of values named as in `Settings.load_report_fields`; None if there are none.
 
-        Values that the policy does not use are left out.
+        Values that the policy does not use are dropped.
         """
         if not values:
             return None
@@ -83,10 +83,10 @@
 
 @dataclass(slots=True)
 class MembershipUpdate:
-    """Endpoints that were listed, changed or removed; empty if the watch failed."""
+    """A change of the endpoint list, or a failed watch."""
 
     kind: UpdateKind
-    endpoints: tuple[Endpoint, ...] = ()
+    endpoints: tuple[Endpoint, ...] = ()  # listed, changed or removed
 
 
 @dataclass(slots=True)
@@ -94,16 +94,16 @@
     """A client's request, which gets one final response."""
 
     request_id: str
-    service_class: str  # by name
-    deadline_ms: float
-    tenant: str | None = None
-    cost_hint_ms: float | None = None
-    is_retry: bool = False
+    service_class: str  # its name
+    deadline_ms: float  # time by which the client needs the final response
+    tenant: str | None = None  # its name; None: no quota applies
+    cost_hint_ms: float | None = None  # processing time that the client expects
+    is_retry: bool = False  # the client marked it as a repeat of an earlier request
 
 
 @dataclass(slots=True)
 class ResponseStarted:
-    """A streamed response has begun: no other attempt may respond to the request any more."""
+    """A streamed response has begun; only this attempt may respond to the request from now on."""
 
     request_id: str
     attempt: int
@@ -111,41 +111,41 @@
 
 @dataclass(slots=True)
 class AttemptOutcome:
-    """An attempt has ended; each attempt sent has exactly one outcome, also if it was cancelled."""
+    """An attempt has ended. Each attempt sent has exactly one outcome, also a cancelled one."""
 
     request_id: str
     attempt: int
-    endpoint: str  # by name
+    endpoint: str  # its name
     result: AttemptResult
-    latency_ms: float
-    done: bool  # the request has its final response, from this attempt or an earlier one
+    latency_ms: float  # from the `Send` to the end of the attempt
+    done: bool  # whether the request has its final response, from this attempt or an earlier one
     load_report: LoadReport | None = None
 
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client has disconnected or timed out; no final response is due any more."""
+    """The client has disconnected or timed out; it takes no response, so none is sent."""
 
     request_id: str
 
 
 @dataclass(slots=True)
 class ShutdownStarted:
-    """Graceful shutdown starts: no more attempts, and requests get their final response as attempts end."""
+    """Graceful shutdown starts: no attempt is sent from now on; requests end as their attempts end."""
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer that the policy started has expired."""
+    """A timer that the policy started with `StartTimer` has expired."""
 
-    name: str
+    name: str  # of the timer
 
 
 @dataclass(slots=True)
 class HealthChecked:
     """A health check of an endpoint has ended."""
 
-    endpoint: str  # by name
+    endpoint: str  # its name
     result: AttemptResult
     latency_ms: float
     load_report: LoadReport | None = None
