--- a/loadbalancer/settings.py
+++ b/loadbalancer/settings.py
@@ -85,9 +85,7 @@
     zone: str = ""  # the zone of this proxy; endpoints in other zones rank worse by `cross_zone_price`
     tier: int = 0  # 0: the entry tier, which clients reach; only it has quotas and sends Retry-After
     replicas: int = 1  # number of proxies that send to this tier, including this one
-    polls_discovery: bool = (
-        False  # the policy starts each poll of discovery; else the host keeps a watch open
-    )
+    polls_discovery: bool = False  # the policy starts polls of discovery; else the host keeps a watch open
     weight_by_cost: bool = False  # count a request in flight by its cost hint; else each counts 1
     over_quota_weight: float = 1.0  # factor from 0 to 1 on the priority of requests over their tenant's quota
     load_report_fields: tuple[str, ...] = ()  # names of the values in endpoints' load reports, in their order
