--- a/loadbalancer/events.py
+++ b/loadbalancer/events.py
@@ -58,7 +58,7 @@
     zone: str = ""
     cell: int = 0  # a group of endpoints within the zone
     state: EndpointState = EndpointState.READY
-    started_ms: float | None = None  # start of the process; None: not known, counts as warmed up
+    started_ms: float | None = None  # start of the process; None: long ago, counts as warmed up
     capacity: float = 1.0  # relative to the other endpoints; ignored unless `Settings.uses_capacity`
 
 
--- a/loadbalancer/platform_settings.py
+++ b/loadbalancer/platform_settings.py
@@ -1,7 +1,8 @@
-"""The platform's JSON settings and load reports, read into the policy's types.
+"""Parsing of the platform's JSON settings and of load reports into the types of the policy.
 
-The simulator adapter, the proxy and the discovery client share these readers. The platform's own names are in
-this module only; unknown keys are ignored. Times are milliseconds, rates are per second.
+The simulator adapter, the proxy and the discovery client share these parsers. The platform's keys differ from
+the names in the program; this module translates them and ignores unknown keys. Times are milliseconds, rates
+are per second.
 """
 
 from __future__ import annotations
@@ -25,11 +26,12 @@
 """A decoded JSON object whose values have not been checked yet."""
 _Choice = TypeVar("_Choice")
 
-DISCOVERY_POLLED = "ask"  # registryMode: discovery has to be polled
-PRIORITY_BY_COST = "work"  # valueBy: a request is weighed by its cost
-STATIC_CAPACITIES = ("nominal", "rough")  # weights; other kinds, such as a live one, depend on past load
+DISCOVERY_POLLED = "ask"  # value of `registryMode` with which the policy polls discovery
+WEIGHT_BY_COST = "work"  # value of `valueBy` with which a request in flight counts by its cost hint
+# Values of `weights` with which listed capacities are used; with others, such as `live`, they depend on load.
+STATIC_CAPACITIES = ("nominal", "rough")
 
-# The platform's key of each setting, as `key` or `section.key`.
+# The platform's key of each field of `Settings`, as `key` or `section.key`.
 SETTING_KEYS = {
     "zone": "locality",
     "tier": "tier",
@@ -45,6 +47,7 @@
     "overload_factor": "invariants.overloadFactor",
     "overload_window_ms": "invariants.tipAfterMs",
 }
+# The platform's key of each field of `ServiceClass`, within an element of `categories`.
 CLASS_KEYS = {
     "latency_objective_ms": "aimMs",
     "client_timeout_ms": "giveUpMs",
@@ -52,17 +55,21 @@
     "late_weight": "lateWorth",
     "deduplication_window_ms": "memorySpanMs",
 }
+# The platform's key of each field of `Tenant`, within an element of `accounts`.
 TENANT_KEYS = {"quota_per_s": "quotaPerS"}
+# Values of a category's `effect`.
 IDEMPOTENCY_BY_EFFECT = {
     "free": Idempotency.IDEMPOTENT,
     "guarded": Idempotency.KEYED,
     "single_shot": Idempotency.NON_IDEMPOTENT,
 }
+# Values of a category's `keyScope`.
 DEDUPLICATION_SCOPES = {
     "all": DeduplicationScope.ALL,
     "zone": DeduplicationScope.ZONE,
     "cell": DeduplicationScope.CELL,
 }
+# The platform's names of the values in a load report, and the names that `LoadReport.from_values` reads.
 LOAD_REPORT_FIELDS = {
     "concurrent": "inflight",
     "depth": "queue",
@@ -71,15 +78,15 @@
     "tps": "qps",
     "err_ps": "eps",
 }
-REPORT_FORMAT = "TEXT"
-REPORT_NUMBER = re.compile(r"[0-9]{1,6}(\.[0-9]{1,9})?")
+REPORT_FORMAT = "TEXT"  # first word of a load report
+REPORT_NUMBER = re.compile(r"[0-9]{1,6}(\.[0-9]{1,9})?")  # below a million, without sign or exponent
 
 
 def parse_settings(config: JsonObject) -> Settings:
-    """Read a node's settings; a key that is absent or null takes its default.
+    """Parse the settings of a proxy or a simulated node; a key that is absent or null has its default.
 
     Raises:
-        ConfigurationError: a value is missing or unusable; its field is the platform's key.
+        ConfigurationError: a required key is absent or a value is invalid; its field is the platform's key.
     """
     classes = tuple(_parse_service_class(category) for category in config.get("categories") or ())
     tenants = tuple(_parse_tenants(config))
@@ -89,7 +96,7 @@
             classes=classes,
             tenants=tenants,
             polls_discovery=config.get("registryMode") == DISCOVERY_POLLED,
-            weight_by_cost=config.get("valueBy") == PRIORITY_BY_COST,
+            weight_by_cost=config.get("valueBy") == WEIGHT_BY_COST,
             uses_capacity=config.get("weights") in STATIC_CAPACITIES,
             load_report_fields=_parse_load_report_fields(config),
             **{setting: value for setting, value in values.items() if value is not None},
@@ -119,7 +126,10 @@
 def _parse_service_class(category: JsonObject) -> ServiceClass:
     for key in ("name", "aimMs", "giveUpMs"):
         if category.get(key) is None:
-            raise ConfigurationError(f"categories.{key}", "missing")
+            raise ConfigurationError(
+                f"categories.{key}",
+                f"required key is absent or null in the category named {category.get('name')!r}",
+            )
     return ServiceClass(
         name=category["name"],
         latency_objective_ms=category["aimMs"],
@@ -137,12 +147,12 @@
 
 def _choose(key: str, value: object, choices: Mapping[Any, _Choice]) -> _Choice:
     if value not in choices:
-        raise ConfigurationError(key, f"{value!r} is not one of {', '.join(choices)}")
+        raise ConfigurationError(key, f"{value!r} is not a known value, expected one of {', '.join(choices)}")
     return choices[value]
 
 
 def _platform_key(field: str, classes: tuple[ServiceClass, ...], tenants: tuple[Tenant, ...]) -> str:
-    """Name the platform's key for a setting's path, such as `classes[0].late_weight`."""
+    """Translate the path of a setting, such as `classes[0].late_weight`, to the platform's key."""
     collection, _, path = field.partition("[")
     index, _, name = path.partition("].")
     match collection:
@@ -154,28 +164,29 @@
 
 
 def parse_capacity(value: object) -> float:
-    """Read the capacity of a listed endpoint, relative to the others; 1.0 if it is not a number above 0."""
+    """Parse the relative capacity of a listed endpoint; 1.0 if it is not a finite number above 0."""
     if not isinstance(value, int | float) or isinstance(value, bool):
         return 1.0
     return float(value) if 0.0 < value < math.inf else 1.0
 
 
 def parse_load_report(text: str, fields: tuple[str, ...]) -> LoadReport | None:
-    """Read a load report in its text form, `TEXT name=value, name=value`.
+    """Parse a load report in its text form, `TEXT name=value, name=value`.
 
     Args:
         text: the value of the header that carries the report.
-        fields: the names listed in the settings; other values are left out.
+        fields: `Settings.load_report_fields`; values with other names are dropped.
 
     Returns:
-        The report; None if any part is malformed or it has no listed value.
+        The report; None if any part is malformed or none of its values is in `fields`.
     """
     report_format, _, pairs = text.partition(" ")
     report: dict[str, float] = {}
     for pair in pairs.split(","):
         name, _, number = pair.strip().partition("=")
-        # Guard: float() accepts signs, words such as `nan` and underscores, and a huge queue would exclude an
-        # endpoint. A value must match `REPORT_NUMBER`. Trade-off: one bad value discards the whole report.
+        # float() accepts signs, underscores and words such as `nan`, and a huge queue length would exclude an
+        # endpoint from selection, so a value must match `REPORT_NUMBER`. Trade-off: one malformed value
+        # discards the report.
         if report_format != REPORT_FORMAT or not REPORT_NUMBER.fullmatch(number):
             return None
         name = LOAD_REPORT_FIELDS.get(name, name)
--- a/tests/simulator/test_platform_settings.py
+++ b/tests/simulator/test_platform_settings.py
@@ -20,8 +20,10 @@
 @pytest.mark.parametrize("key", ["name", "aimMs", "giveUpMs"])
 def test_error_names_a_missing_setting(key):
     category = {name: value for name, value in CONFIG["categories"][0].items() if name != key}
-    with pytest.raises(ValueError, match=f"categories.{key}: missing"):
+    with pytest.raises(ConfigurationError) as raised:
         parse_settings({"categories": [category]})
+    problem = f"required key is absent or null in the category named {category.get('name')!r}"
+    assert str(raised.value) == f"categories.{key}: {problem}"
 
 
 @pytest.mark.parametrize(
