--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -1,4 +1,4 @@
-"""The proxy's program: `python -m loadbalancer`, configured by the file that PROXY_CONFIG names."""
+"""The proxy: `python -m loadbalancer` runs one with the configuration file that PROXY_CONFIG names."""
 
 from __future__ import annotations
 
@@ -26,13 +26,18 @@
     """Read the configuration file.
 
     Raises:
-        OSError: the file can't be read.
-        ValueError: its content is invalid; mostly a ConfigurationError.
+        OSError: the file cannot be read.
+        ConfigurationError: PROXY_CONFIG is not set, or a value in the file is invalid.
+        ValueError: the file is invalid in another way.
     """
     path = os.environ.get(CONFIG_VARIABLE)
     if not path:
-        raise ConfigurationError(CONFIG_VARIABLE, "not set")
-    with open(path, "rb") as file:  # noqa: PTH123 - pathlib would cost a start more than the rest of this module
+        raise ConfigurationError(
+            CONFIG_VARIABLE,
+            "environment variable is not set or empty, expected the path of the configuration file",
+        )
+    # Importing pathlib would take longer at a start than the rest of this module.
+    with open(path, "rb") as file:  # noqa: PTH123
         return parse_config(file.read())
 
 
@@ -40,7 +45,7 @@
     """Run the proxy until SIGTERM or SIGINT and return its exit code; SIGHUP reloads the configuration."""
     stop_requested, reload_requested = asyncio.Event(), asyncio.Event()
     loop = asyncio.get_running_loop()
-    # Guard: SIGHUP ends a process that has no handler for it, so the handlers come before anything slow.
+    # A SIGHUP ends a process that has no handler for it, so the handlers are installed before anything slow.
     loop.add_signal_handler(signal.SIGHUP, reload_requested.set)
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop_requested.set)
@@ -52,19 +57,19 @@
     proxy = Proxy(config)
     await proxy.start()
     reloading = asyncio.create_task(_reload(proxy, reload_requested))
-    # Objects of the start live as long as the process, so the garbage collector need not visit them again. A
-    # collection before this costs a twelfth of a start's processor time and finds 16 objects.
+    # Objects created so far exist as long as the process, so the garbage collector need not scan them again.
+    # No collection runs before: it would take a twelfth of a start's processor time and find 16 objects.
     gc.freeze()
     logger.info("proxy serving name=%s address=%s:%d", config.name, *proxy.listener.address)
     await stop_requested.wait()
     logger.info("proxy stopping name=%s", config.name)
-    await shut_down(proxy)  # the watch goes on meanwhile, so that attempts follow the current endpoint list
+    await shut_down(proxy)  # the watch continues meanwhile, so that attempts use the current endpoint list
     reloading.cancel()
     return EXIT_OK
 
 
 async def _reload(proxy: Proxy, requested: asyncio.Event) -> None:
-    """Reload the configuration at each SIGHUP; an invalid file leaves the current one in force."""
+    """Reload the configuration at each SIGHUP; if the file is invalid, the current configuration is kept."""
     while True:
         await requested.wait()
         requested.clear()
