--- a/loadbalancer/simulator_adapter.py
+++ b/loadbalancer/simulator_adapter.py
@@ -1,7 +1,7 @@
-"""The program that the simulator starts; it reads batches from standard input and writes replies.
+"""The simulator's adapter: a program that reads batches of events from standard input and writes replies.
 
-It hosts the policies of many nodes, which share no state. It decides nothing itself; `simulator_wire`
-translates between messages and the types of the policy.
+It hosts the policies of many simulated nodes, which share no state. It decides nothing itself;
+`simulator_wire` translates between the messages and the types of the policy.
 """
 
 from __future__ import annotations
@@ -28,31 +28,31 @@
 
 EXIT_OK = 0
 EXIT_BAD_INPUT = 2
-MAX_PANIC_CHARACTERS = 500
-MAX_QUOTED_BYTES = 200  # of a bad line, in the error
+MAX_PANIC_CHARACTERS = 500  # of the error message in a PANIC
+MAX_QUOTED_BYTES = 200  # of an invalid line, in the error message
 
 IGNORED_KINDS = ("PEER",)  # gossip between replicas, which the policy does not use
 
 
 class WireFault(Enum):
-    """A fault of the input that cannot be attributed to one node."""
+    """Kinds of invalid input that cannot be attributed to one node."""
 
-    NOT_JSON = "not a line of JSON"
-    NOT_AN_OBJECT = "not an object"
-    BAD_BATCH_START = "FRAME lacks nowMs or seq"
-    NESTED_BATCH = "a batch starts within a batch"
-    OUTSIDE_BATCH = "a message is outside a batch"
-    UNFINISHED_BATCH = "the input ended within a batch"
-    BAD_CATALOG = "a catalog cannot be read"
-    NO_NODE = "an event names no node"
+    NOT_JSON = "input line is not valid JSON"
+    NOT_AN_OBJECT = "input line is not a JSON object"
+    BAD_BATCH_START = "FRAME message has no numeric nowMs or no seq"
+    NESTED_BATCH = "expected GO before the next FRAME message, found"
+    OUTSIDE_BATCH = "expected a FRAME message that starts a batch, found one of the kind"
+    UNFINISHED_BATCH = "input ended before the GO message of a batch"
+    BAD_CATALOG = "CATALOG message lacks a field or has an invalid value"
+    NO_NODE = "event has no integer in its field node"
 
 
 class WireError(Exception):
-    """Input violates the wire protocol and names no node; it ends the process.
+    """The input violates the wire protocol and cannot be attributed to a node; the process ends.
 
     Attributes:
-        fault: the fault.
-        detail: the offending part of the input.
+        fault: the kind of violation.
+        detail: the invalid part of the input, or the error that it causes.
     """
 
     def __init__(self, fault: WireFault, detail: str) -> None:
@@ -66,7 +66,7 @@
 
     Attributes:
         policy: the node's policy.
-        context: for the readers of its messages.
+        context: what the readers of its messages need.
     """
 
     def __init__(
@@ -83,11 +83,11 @@
 
 
 class SimulatorAdapter:
-    """The policies of all nodes of one process.
+    """Hosts the policies of all nodes of this process.
 
     Attributes:
-        hosted: the running nodes, by number.
-        catalogs: the latest endpoint catalog of each reference; a later one replaces it.
+        hosted: the policies of the running nodes, by the number of the node.
+        catalogs: the latest endpoint catalog of each reference number.
     """
 
     def __init__(self) -> None:
@@ -95,13 +95,13 @@
         self.catalogs: dict[int, tuple[Endpoint, ...]] = {}
 
     def handle(self, now_ms: float, message: WireMessage) -> list[WireMessage]:
-        """Deliver one event of a batch, whose time is `now_ms`, and return the replies to it.
+        """Handle one message of a batch, whose time is `now_ms`, and return the replies to it.
 
-        Any failure at a node ends that node only: the reply is a PANIC, and the traceback is written to
+        An exception at a node stops that node only: the reply is a PANIC, and the traceback is written to
         standard error.
 
         Raises:
-            WireError: the message is a catalog that cannot be read, or names no node.
+            WireError: the message is an invalid catalog, or an event without a node.
         """
         kind = message.get("kind")
         if kind == "CATALOG":
@@ -109,7 +109,7 @@
             return []
         node = message.get("node")
         if not isinstance(node, int):
-            raise WireError(WireFault.NO_NODE, repr(kind))
+            raise WireError(WireFault.NO_NODE, f"kind {kind!r}, node {node!r}")
         try:
             return self._deliver(now_ms, kind, node, message)
         except Exception as error:
@@ -122,7 +122,8 @@
         try:
             self.catalogs[message["ref"]] = tuple(read_endpoint(entry) for entry in message["rows"])
         except (KeyError, TypeError, ValueError) as error:
-            raise WireError(WireFault.BAD_CATALOG, f"{type(error).__name__}: {error}") from error
+            detail = f"ref {message.get('ref')!r}: {type(error).__name__}: {error}"
+            raise WireError(WireFault.BAD_CATALOG, detail) from error
 
     def _deliver(self, now_ms: float, kind: object, node: int, message: WireMessage) -> list[WireMessage]:
         if kind == "POWER_ON":
@@ -130,7 +131,7 @@
             return []
         hosted = self.hosted.get(node)
         if hosted is None:
-            raise MessageError("node", f"{node} was never started")
+            raise MessageError("node", f"{node} is not running, expected POWER_ON before {kind!r}")
         if kind == "STOP":
             del self.hosted[node]
             return []
@@ -138,16 +139,18 @@
             return []
         read_event = EVENT_READERS.get(str(kind))
         if read_event is None:
-            raise MessageError("kind", f"{kind!r} is not one of {', '.join(EVENT_READERS)}")
+            raise MessageError(
+                "kind", f"{kind!r} is not a known kind of event, expected one of {', '.join(EVENT_READERS)}"
+            )
         event = read_event(hosted.context, message)
         return [write_action(node, action) for action in hosted.policy.handle(now_ms, event)]
 
 
 class Batch:
-    """A batch whose events are being handled.
+    """A batch of events and the reply to it.
 
     Attributes:
-        now_ms: the simulator's clock, the same for all events of the batch.
+        now_ms: the time of all events of the batch, on the simulator's clock.
     """
 
     def __init__(self, start: WireMessage) -> None:
@@ -155,15 +158,15 @@
         if not isinstance(now_ms, int | float) or "seq" not in start:
             raise WireError(WireFault.BAD_BATCH_START, repr(start))
         self.now_ms = float(now_ms)
-        self._lines: list[bytes] = []  # of the reply, encoded
+        self._lines: list[bytes] = []  # encoded messages of the reply
         self._sequence = start["seq"]
 
     def add_replies(self, replies: list[WireMessage]) -> None:
-        """Add the replies to an event to the reply of the batch."""
+        """Append the replies to one event to the reply of the batch."""
         self._lines.extend(orjson.dumps(reply) for reply in replies)
 
     def write_reply(self, sink: BinaryIO) -> None:
-        """Write and flush the whole reply, which ends with READY and the number of the batch."""
+        """Write and flush the complete reply, which ends with READY and the sequence number of the batch."""
         self._lines.append(orjson.dumps({"kind": "READY", "seq": self._sequence}))
         sink.write(b"\n".join(self._lines) + b"\n")
         sink.flush()
@@ -183,7 +186,7 @@
     """Handle batches and write one reply to each, until the input ends.
 
     Raises:
-        WireError: the input violates the wire protocol; no part of the unfinished reply has been written.
+        WireError: the input violates the wire protocol; nothing of the current reply has been written.
     """
     adapter = SimulatorAdapter()
     batch: Batch | None = None
@@ -202,11 +205,11 @@
         else:
             batch.add_replies(adapter.handle(batch.now_ms, message))
     if batch is not None:
-        raise WireError(WireFault.UNFINISHED_BATCH, f"at {batch.now_ms} ms")
+        raise WireError(WireFault.UNFINISHED_BATCH, f"nowMs {batch.now_ms}")
 
 
 def main() -> int:
-    """Run on standard input and output; returns the exit code of the process."""
+    """Run on standard input and output; return the exit code of the process."""
     try:
         run(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
--- a/loadbalancer/simulator_wire.py
+++ b/loadbalancer/simulator_wire.py
@@ -1,7 +1,7 @@
 """Translation between the simulator's wire messages and the policy's events and actions.
 
-`EVENT_READERS` has a reader for each kind of message; `write_action` writes all actions. Nothing is decided
-here. Times on the wire and in the policy are milliseconds on the simulator's clock.
+`EVENT_READERS` has a reader for each kind of event; `write_action` writes an action of any type. Nothing is
+decided here. Times on the wire and in the policy are milliseconds on the simulator's clock.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 from loadbalancer.platform_settings import parse_capacity
 
 WireMessage: TypeAlias = Mapping[str, Any]
-"""One decoded line of the wire; the platform's protocol page defines the fields of each kind."""
+"""A decoded message, one line on the wire; the platform's protocol defines the fields of each kind."""
 
 ATTEMPT_RESULTS = {
     0: AttemptResult.OK,
@@ -55,10 +55,10 @@
 
 
 class MessageError(ValueError):
-    """A message to one node is unusable; it ends that node only.
+    """A message to one node is invalid, which stops that node only.
 
     Attributes:
-        field: the wire field at fault.
+        field: the invalid field of the message.
     """
 
     def __init__(self, field: str, problem: str) -> None:
@@ -68,12 +68,12 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeContext:
-    """The context for reading the messages to one node.
+    """What is needed to read the messages to one node.
 
     Attributes:
-        service_classes: the names of the service classes that the node's requests may have.
-        load_report_fields: the names of the values of a load report, in the order of the wire.
-        catalogs: the process's endpoint catalogs by reference number; later ones replace earlier ones.
+        service_classes: the names of the node's service classes.
+        load_report_fields: the names of the values in a load report, in their order on the wire.
+        catalogs: the endpoint catalogs that all nodes share, the latest of each reference number.
     """
 
     service_classes: frozenset[str]
@@ -81,7 +81,7 @@
     catalogs: Mapping[int, tuple[Endpoint, ...]]
 
     def read_load_report(self, values: Sequence[float | None] | None) -> LoadReport | None:
-        """Read a load report, whose absent values are left out; None without a report."""
+        """Read a load report, in which None stands for an absent value; None if there is no report."""
         if not values:
             return None
         named_values = zip(self.load_report_fields, values, strict=False)
@@ -92,7 +92,7 @@
     """Read one entry of a catalog.
 
     Raises:
-        MessageError: the endpoint's state is unknown.
+        MessageError: the endpoint has an unknown state.
     """
     state = ENDPOINT_STATES.get(entry["stageState"])
     if state is None:
@@ -177,7 +177,9 @@
 
 
 def _unknown_value(field: str, value: object, known: Mapping[Any, object] | Sequence[str]) -> MessageError:
-    return MessageError(field, f"{value!r} is not one of {', '.join(map(str, known))}")
+    return MessageError(
+        field, f"{value!r} is not a known value, expected one of {', '.join(map(str, known))}"
+    )
 
 
 def write_action(node: int, action: Action) -> WireMessage:
--- a/tests/simulator/test_simulator_adapter.py
+++ b/tests/simulator/test_simulator_adapter.py
@@ -136,4 +136,4 @@
     bad = subprocess.run(command, input=b"nonsense\n", capture_output=True, cwd=ROOT, check=False)
     assert bad.returncode != 0
     assert bad.stdout == b""
-    assert b"not a line of JSON" in bad.stderr
+    assert b"input line is not valid JSON" in bad.stderr
