--- a/loadbalancer/platform_settings.py
+++ b/loadbalancer/platform_settings.py
@@ -28,7 +28,8 @@
 
 DISCOVERY_POLLED = "ask"  # value of `registryMode` with which the policy polls discovery
 WEIGHT_BY_COST = "work"  # value of `valueBy` with which a request in flight counts by its cost hint
-# Values of `weights` with which listed capacities are used; with others, such as `live`, they depend on load.
+# Values of `weights` with which the policy uses listed capacities. With others, such as `live`, a listed
+# capacity depends on past load.
 STATIC_CAPACITIES = ("nominal", "rough")
 
 # The platform's key of each field of `Settings`, as `key` or `section.key`.
--- a/loadbalancer/settings.py
+++ b/loadbalancer/settings.py
@@ -57,10 +57,14 @@
     latency_objective_ms: float  # a response within this time of the request has its full value
     client_timeout_ms: float  # the client waits this long for the final response, over all attempts
     priority_weight: float = 1.0  # value of a response; under overload, low weights are rejected first
-    late_weight: float = 0.0  # fraction of its value after the latency objective; 0: attempts stop there
+    late_weight: float = (
+        0.0  # fraction of its value that a late response has; 0: attempts stop at the objective
+    )
     idempotency: Idempotency = Idempotency.NON_IDEMPOTENT
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
-    deduplication_window_ms: float = 0.0  # how long endpoints store an idempotency key
+    deduplication_window_ms: float = (
+        0.0  # how long endpoints store an idempotency key; a retry must start within it
+    )
     streaming: bool = False  # responses are streamed; their attempts do not stop at the latency objective
 
 
@@ -97,7 +101,7 @@
     cross_zone_price: float = 0.0
     uses_capacity: bool = False  # use the capacities in the endpoint list; else all endpoints count as equal
     slow_start_initial_fraction: float = 1.0  # part of its capacity that an endpoint has when it starts
-    slow_start_ms: float = 0.0  # time after its start in which an endpoint's capacity rises to the full one
+    slow_start_ms: float = 0.0  # time from its start until an endpoint has its full capacity
     overload_factor: float = 2.0  # multiple of its share of attempts at which an endpoint in slow start fails
     overload_window_ms: float = 1500.0  # time for which an endpoint must get that multiple before it fails
 
