--- a/loadbalancer/settings.py
+++ b/loadbalancer/settings.py
@@ -57,14 +57,10 @@
     latency_objective_ms: float  # a response within this time of the request has its full value
     client_timeout_ms: float  # the client waits this long for the final response, over all attempts
     priority_weight: float = 1.0  # value of a response; under overload, low weights are rejected first
-    late_weight: float = (
-        0.0  # fraction of its value that a late response has; 0: attempts stop at the objective
-    )
+    late_weight: float = 0.0  # fraction of its value after the objective; 0: attempts stop at the objective
     idempotency: Idempotency = Idempotency.NON_IDEMPOTENT
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
-    deduplication_window_ms: float = (
-        0.0  # how long endpoints store an idempotency key; a retry must start within it
-    )
+    deduplication_window_ms: float = 0.0  # how long an idempotency key is stored; retries start within it
     streaming: bool = False  # responses are streamed; their attempts do not stop at the latency objective
 
 
