--- a/loadbalancer/discovery_server/config.py
+++ b/loadbalancer/discovery_server/config.py
@@ -1,4 +1,4 @@
-"""The configuration of a discovery server process: one TOML file, which is read once at the start."""
+"""The configuration of a discovery server process: one TOML file, which is read once at startup."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 MAX_LISTS = 5_000
 MAX_UPSTREAMS = 16  # of one list
 MAX_DURATION_MS = 60_000
-PATH_PREFIX = " - at `"  # in msgspec's messages, before the path of the setting at fault
+PATH_PREFIX = " - at `"  # precedes the path of the invalid setting in msgspec's messages
 
 Count = Annotated[int, msgspec.Meta(ge=1)]
-Duration = Annotated[float, msgspec.Meta(gt=0, le=MAX_DURATION_MS)]
+DurationMs = Annotated[float, msgspec.Meta(gt=0, le=MAX_DURATION_MS)]
 ListName = Annotated[str, msgspec.Meta(pattern=r"^[a-z0-9][a-z0-9._-]{0,63}\Z")]
 Tag = Annotated[int, msgspec.Meta(ge=0, lt=1 << TAG_BITS)]
 
 
 class ConfigurationError(ValueError):
-    """The configuration can't be used. The message is one line and names the setting at fault.
+    """An invalid configuration. The message is one line and names the invalid setting.
 
     Attributes:
-        path: The setting at fault, such as `$.lists[0].listen`; empty if the file as a whole is malformed.
+        path: The invalid setting, such as `$.lists[0].listen`; empty if no single setting is invalid.
     """
 
     def __init__(self, message: str, path: str = "") -> None:
@@ -47,10 +47,11 @@
     """The limits of one list.
 
     Attributes:
-        max_entries: Entries of the list.
-        max_bytes: Bytes of JSON of all its entries.
-        max_log_entries: Entries of its change log: one for each change set, and one for each of its records.
-        max_log_bytes: Bytes of JSON of all records in its change log.
+        max_entries: Maximum number of entries in the list.
+        max_bytes: Maximum size of the JSON of all its entries, in bytes.
+        max_log_entries: Maximum number of entries in its change log: one for each change set, and one for
+            each of its records.
+        max_log_bytes: Maximum size of the JSON of all records in its change log, in bytes.
     """
 
     max_entries: Count = 20_000
@@ -70,27 +71,28 @@
         "unread_timeout_ms": "unread_ms",
     },
 ):
-    """The limits of the whole process.
+    """The limits of one process, over all of its lists.
 
     Attributes:
-        max_connections: Connections of clients, all lists together.
-        max_watches: Waiting watches, all lists together.
-        max_unsent_bytes: Bytes of responses that clients have not read yet, all clients together.
-        unread_timeout_ms: Time in milliseconds after which a client that leaves a part of its response unread
+        max_connections: Maximum number of client connections.
+        max_watches: Maximum number of waiting watches.
+        max_unsent_bytes: Maximum number of bytes of responses that clients have not read yet, over all
+            clients.
+        unread_timeout_ms: Time in milliseconds after which a client that has not read its complete response
             is disconnected.
     """
 
     max_connections: Count = 4_000
     max_watches: Count = 4_000
     max_unsent_bytes: Count = 64 * 1024 * 1024
-    unread_timeout_ms: Duration = 5_000.0
+    unread_timeout_ms: DurationMs = 5_000.0
 
 
 class ListConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """One endpoint list.
 
     Attributes:
-        name: Identifies the list in log lines, and names its snapshot files.
+        name: Identifies the list in log lines, and is part of the names of its snapshot files.
         listen: The address and port at which the list is served; port 0 lets the kernel choose one.
         upstreams: Addresses of the registry or of other discovery servers, in order of preference.
     """
@@ -115,7 +117,7 @@
     """The configuration of one process; the file's keys are those of `docs/discovery-server.md`.
 
     Attributes:
-        state_dir: The directory of the snapshots, which one process uses at a time.
+        state_dir: The directory of the snapshots; only one process at a time can use it.
         lists: The endpoint lists that the process serves.
         tag: The low bits of each revision that the process issues; None: the tag of the list's snapshot, or a
             random one.
@@ -123,15 +125,15 @@
         watch_timeout_ms: How long a watch of an upstream waits for a change, in milliseconds.
         statistics_interval_ms: The time between two log events `statistics`, in milliseconds.
         list_limits: The limits of each list.
-        process_limits: The limits of the whole process.
+        process_limits: The limits over all lists of the process.
     """
 
     state_dir: str
     lists: Annotated[tuple[ListConfig, ...], msgspec.Meta(min_length=1, max_length=MAX_LISTS)]
     tag: Tag | None = None
     seed: int | None = None
-    watch_timeout_ms: Duration = 3_000.0
-    statistics_interval_ms: Duration = 10_000.0
+    watch_timeout_ms: DurationMs = 3_000.0
+    statistics_interval_ms: DurationMs = 10_000.0
     list_limits: ListLimits = ListLimits()
     process_limits: ProcessLimits = ProcessLimits()
 
@@ -166,11 +168,12 @@
     for index, list_config in enumerate(lists):
         path = f"$.lists[{index}]"
         if list_config.name in names:
-            raise ConfigurationError(f"the name {list_config.name!r} is used twice", f"{path}.name")
+            message = f"duplicate list name {list_config.name!r}; list names must be unique"
+            raise ConfigurationError(message, f"{path}.name")
         names.add(list_config.name)
         _check_address(list_config.listen, f"{path}.listen")
-        for rank, upstream in enumerate(list_config.upstreams):
-            _check_address(upstream, f"{path}.upstreams[{rank}]")
+        for upstream_index, upstream in enumerate(list_config.upstreams):
+            _check_address(upstream, f"{path}.upstreams[{upstream_index}]")
 
 
 def _check_address(address: str, path: str) -> None:
