--- a/loadbalancer/discovery_server/update_merge.py
+++ b/loadbalancer/discovery_server/update_merge.py
@@ -8,14 +8,16 @@
 
 
 class UpdateError(ValueError):
-    """An update that the endpoint list can't apply."""
+    """An update that can't be applied to the endpoint list."""
 
 
 class MissingListError(UpdateError):
-    """Changes that arrived before any complete list."""
+    """An update with changes that precedes the first complete list."""
 
     def __init__(self) -> None:
-        super().__init__("changes arrived before the complete list")
+        super().__init__(
+            "received changes before the complete list; the first update must be a complete list"
+        )
 
 
 def merge_updates(
@@ -26,10 +28,10 @@
     Args:
         current: The listed endpoints by uid, without tombstones.
         updates: The updates, in the order of their arrival.
-        initialized: Whether there has been a complete list, without which changes can't be applied.
+        initialized: Whether the list has been received or restored; until then changes can't be applied.
 
     Raises:
-        MissingListError: Changes arrived before any complete list.
+        MissingListError: An update with changes precedes the first complete list.
     """
     changes: dict[str, EndpointRecord] = {}
     for update in updates:
@@ -48,10 +50,10 @@
     changes: dict[str, EndpointRecord],
     records: Sequence[EndpointRecord],
 ) -> None:
-    """Add the changes that lead to this complete list; an endpoint that it lacks becomes a tombstone."""
+    """Add the changes from the current list to this one; an endpoint that it lacks becomes a tombstone."""
     listed = {record.uid: record for record in records if not record.removed}
-    for known in [*current.values(), *changes.values()]:
-        latest = changes.get(known.uid, known)
+    for existing in [*current.values(), *changes.values()]:
+        latest = changes.get(existing.uid, existing)
         if latest.uid not in listed and not latest.removed:
             changes[latest.uid] = tombstone(latest)
     changes.update(listed)
