--- a/loadbalancer/discovery_server/watch_query.py
+++ b/loadbalancer/discovery_server/watch_query.py
@@ -8,10 +8,11 @@
 MAX_WAIT_MS = 60_000
 PARAMETER = re.compile(rb"since=(-?[0-9]{1,18})|timeout_ms=([0-9]{1,9})|[^&=]+(=[^&]*)?")
 PROTOCOL_PARAMETERS = (b"since", b"timeout_ms")
+VALUE_FORMATS = {b"since": "an integer of 1 to 18 digits", b"timeout_ms": "1 to 9 digits"}
 
 
 class QueryError(ValueError):
-    """A query that the protocol doesn't allow."""
+    """A query that violates the discovery protocol."""
 
 
 class WatchQuery(NamedTuple):
@@ -37,11 +38,19 @@
     for part in query.split(b"&") if query else ():
         match = PARAMETER.fullmatch(part)
         if match is None:
-            raise QueryError("malformed query")
+            raise QueryError(f"watch query: malformed parameter {part!r}, expected `name` or `name=value`")
         if match[1] is not None and since is None:
             since = int(match[1])
         elif match[2] is not None and timeout_ms is None:
             timeout_ms = min(int(match[2]), MAX_WAIT_MS)
         elif part.partition(b"=")[0] in PROTOCOL_PARAMETERS:
-            raise QueryError("malformed or repeated value")
+            raise QueryError(_invalid_parameter_message(match))
     return WatchQuery(since, timeout_ms or 0)
+
+
+def _invalid_parameter_message(match: re.Match[bytes]) -> str:
+    """Describe a parameter of the protocol that is repeated or has a malformed value."""
+    name, _, value = match[0].partition(b"=")
+    if match[1] is not None or match[2] is not None:
+        return f"watch query: `{name.decode()}` occurs twice"
+    return f"watch query: malformed `{name.decode()}`: expected {VALUE_FORMATS[name]}, found {value!r}"
--- a/tests/discovery_server/test_watch_query.py
+++ b/tests/discovery_server/test_watch_query.py
@@ -22,17 +22,20 @@
 
 
 @pytest.mark.parametrize(
-    "query",
+    ("query", "message"),
     [
-        pytest.param(b"since=", id="no revision"),
-        pytest.param(b"since=x", id="a text for a revision"),
-        pytest.param(b"since=1&since=1", id="a repeated revision"),
-        pytest.param(b"since=" + b"9" * 19, id="a revision of too many digits"),
-        pytest.param(b"timeout_ms=-1", id="a negative wait"),
-        pytest.param(b"&", id="empty parts"),
-        pytest.param(b"=1", id="a value without a name"),
+        pytest.param(b"since=", "malformed `since`: .*, found b''", id="no revision"),
+        pytest.param(b"since=x", "malformed `since`: .*, found b'x'", id="a text for a revision"),
+        pytest.param(b"since=1&since=1", "`since` occurs twice", id="a repeated revision"),
+        pytest.param(
+            b"since=" + b"9" * 19, "malformed `since`: .* 1 to 18 digits", id="a revision of too many digits"
+        ),
+        pytest.param(b"timeout_ms=-1", "malformed `timeout_ms`: .*, found b'-1'", id="a negative wait"),
+        pytest.param(b"timeout_ms=1&timeout_ms=2", "`timeout_ms` occurs twice", id="a repeated wait"),
+        pytest.param(b"&", "malformed parameter b''", id="empty parts"),
+        pytest.param(b"=1", "malformed parameter b'=1'", id="a value without a name"),
     ],
 )
-def test_malformed_query_is_rejected(query):
-    with pytest.raises(QueryError, match="malformed"):
+def test_malformed_query_is_rejected(query, message):
+    with pytest.raises(QueryError, match=f"^watch query: {message}"):
         parse_query(query)
