--- a/loadbalancer/discovery_server/snapshot_store.py
+++ b/loadbalancer/discovery_server/snapshot_store.py
@@ -27,7 +27,7 @@
 
     Attributes:
         snapshot: The snapshot; None without a valid file.
-        errors: The fault of each newer file.
+        errors: A message for each newer file that can't be used.
     """
 
     snapshot: Snapshot | None
@@ -35,30 +35,35 @@
 
 
 def encode(snapshot: Snapshot) -> bytes:
-    """The content of a snapshot's file: magic, length, digest and MessagePack body."""
+    """Encode the content of a snapshot's file: magic, length, digest and MessagePack body."""
     body = msgspec.msgpack.encode(snapshot)
     return MAGIC + len(body).to_bytes(LENGTH_BYTES, "big") + _digest(body) + body
 
 
 def decode(data: bytes, name: str) -> Snapshot:
-    """The snapshot in the content of a file, which must be of the list of this name.
+    """Decode the content of a snapshot's file, which must belong to the list of this name.
 
     Raises:
-        SnapshotError: A byte is missing, changed or added, or the snapshot is of another list.
+        SnapshotError: The data is truncated or damaged, or the snapshot belongs to another list.
     """
     body = data[BODY_START:]
     if len(data) < BODY_START or not data.startswith(MAGIC):
-        raise SnapshotError("the header is not a snapshot's")
-    if int.from_bytes(data[len(MAGIC) : DIGEST_START], "big") != len(body):
-        raise SnapshotError(f"the length in the header is not that of the body: {len(body)} bytes")
-    if data[DIGEST_START:BODY_START] != _digest(body):
-        raise SnapshotError("the checksum is wrong")
+        raise SnapshotError(
+            f"expected a header of {BODY_START} bytes that begins with {MAGIC!r}, "
+            f"found a file of {len(data)} bytes that begins with {data[: len(MAGIC)]!r}"
+        )
+    stated_length = int.from_bytes(data[len(MAGIC) : DIGEST_START], "big")
+    if stated_length != len(body):
+        raise SnapshotError(f"the header states a body of {stated_length} bytes, found {len(body)} bytes")
+    stated_digest, digest = data[DIGEST_START:BODY_START], _digest(body)
+    if stated_digest != digest:
+        raise SnapshotError(f"the header states the checksum {stated_digest.hex()}, found {digest.hex()}")
     try:
         snapshot = msgspec.msgpack.decode(body, type=Snapshot)
     except msgspec.DecodeError as error:
-        raise SnapshotError(str(error)) from error
+        raise SnapshotError(f"the body is not a snapshot in MessagePack: {error}") from error
     if snapshot.name != name:
-        raise SnapshotError(f"it is of the list {snapshot.name!r}")
+        raise SnapshotError(f"expected a snapshot of the list {name!r}, found {snapshot.name!r}")
     return snapshot
 
 
@@ -67,7 +72,7 @@
 
 
 class SnapshotStore:
-    """The newest snapshot file of one list and the previous one. Its methods block; one writer at a time.
+    """The newest snapshot file of one list and the previous one. Methods block; only one write at a time.
 
     Attributes:
         name: The list's name in the configuration.
@@ -81,10 +86,10 @@
         self.newest = directory / f"{name}.snapshot"
         self.previous = directory / f"{name}.snapshot.previous"
         self._temporary = directory / f"{name}.snapshot.new"
-        self._newest_is_valid = False  # only a valid one replaces the previous one
+        self._newest_is_valid = False  # only a valid newest file replaces the previous one
 
     def load(self) -> LoadedSnapshot:
-        """Read the newest valid snapshot. A missing file is no error."""
+        """Read the newest valid snapshot. A missing file is not an error."""
         errors: list[str] = []
         for path in (self.newest, self.previous):
             try:
@@ -94,7 +99,7 @@
             except SnapshotError as error:
                 errors.append(f"{path.name}: {error}")
             except OSError as error:
-                errors.append(f"{path.name}: {error.strerror}")
+                errors.append(f"{path.name}: the file can't be read: {error.strerror}")
             else:
                 self._newest_is_valid = path == self.newest
                 return LoadedSnapshot(snapshot, errors)
@@ -110,8 +115,8 @@
             file.write(encode(snapshot))
             file.flush()
             os.fsync(file.fileno())
-        # Guard: after a start with a damaged newest file, that file would replace the only valid snapshot. It
-        # is therefore overwritten, and the previous one stays.
+        # If the newest file is damaged, the previous one is the only valid snapshot, and the damaged file
+        # must not replace it. The damaged file is overwritten instead, and the previous one is kept.
         if self._newest_is_valid:
             self.newest.replace(self.previous)
         self._temporary.replace(self.newest)
--- a/tests/discovery_server/test_snapshot_store.py
+++ b/tests/discovery_server/test_snapshot_store.py
@@ -44,7 +44,7 @@
     for bad in damaged:
         with pytest.raises(SnapshotError):
             snapshot_store.decode(bad, LIST_NAME)
-    with pytest.raises(SnapshotError, match="of the list"):
+    with pytest.raises(SnapshotError, match=f"of the list 't', found '{LIST_NAME}'"):
         snapshot_store.decode(data, "t")
 
 
