--- a/loadbalancer/discovery_server/snapshot_writer.py
+++ b/loadbalancer/discovery_server/snapshot_writer.py
@@ -11,17 +11,17 @@
 from loadbalancer.discovery_server.revisions import STARTUP_LEAD_TICKS
 from loadbalancer.discovery_server.snapshot_store import SnapshotStore
 
-WRITE_TIMEOUT_S = 1.0  # a change set waits for its snapshot no longer than this
-FINAL_WRITE_TIMEOUT_S = 2.0  # a shutdown waits for a write in progress no longer than this
+WRITE_TIMEOUT_S = 1.0  # the longest that a change set waits for its snapshot
+FINAL_WRITE_TIMEOUT_S = 2.0  # the longest that a shutdown waits for a write in progress
 
 
 class SnapshotWriter:
     """Writes one snapshot at a time.
 
     Attributes:
-        outdated: Whether the last snapshot to be written is missing on the disk.
-        durable_lead_ticks: The shortest lead over the clock with which the next process begins, whether it
-            finds the newest snapshot, only the previous one, or neither.
+        outdated: Whether the last snapshot passed to `write` is not on the disk.
+        durable_lead_ticks: The shortest lead over the clock with which the next process can start: from the
+            newest snapshot, from the previous one or from neither.
     """
 
     def __init__(self, store: SnapshotStore, executor: Executor, log: BoundLogger) -> None:
@@ -41,8 +41,8 @@
         """
         extends_lead = snapshot.lead_ticks > self.durable_lead_ticks
         await self._write_once(snapshot)
-        # Guard: if the newest snapshot is damaged, the next process begins with the shorter lead of the
-        # previous one, and could issue the same revisions again. Written twice, both state the longer lead.
+        # If the newest snapshot is damaged, the next process starts with the shorter lead of the previous one
+        # and can issue the same revisions again. After a second write both snapshots state the longer lead.
         if extends_lead and not self.outdated:
             await self._write_once(snapshot)
 
@@ -56,14 +56,16 @@
             self.outdated = True
             return
         lead_ticks, previous_lead_ticks = snapshot.lead_ticks, self._newest_lead_ticks
-        # A write that fails or is late may have replaced the newest snapshot all the same.
+        # A write that fails or times out may still replace the newest snapshot.
         self._newest_lead_ticks = min(previous_lead_ticks, lead_ticks)
         self.durable_lead_ticks = min(self.durable_lead_ticks, lead_ticks)
         loop = asyncio.get_running_loop()
         self._write = loop.run_in_executor(self._executor, self._store.write, snapshot)
         self._write.add_done_callback(_retrieve_exception)
         done, _ = await asyncio.wait({self._write}, timeout=WRITE_TIMEOUT_S)
-        error = self._write.exception() if done else TimeoutError("the disk takes too long")
+        error = (
+            self._write.exception() if done else TimeoutError(f"not finished within {WRITE_TIMEOUT_S:g} s")
+        )
         self.outdated = error is not None
         if error is None:
             self._newest_lead_ticks = lead_ticks
@@ -73,6 +75,6 @@
 
 
 def _retrieve_exception(write: asyncio.Future[None]) -> None:
-    """Retrieve the exception of a write that fails after its time-out, which has been logged as one."""
+    """Retrieve the exception of a write that fails after its time-out; the time-out has been logged."""
     if not write.cancelled():
         write.exception()
