--- a/loadbalancer/discovery_server/state_directory.py
+++ b/loadbalancer/discovery_server/state_directory.py
@@ -11,14 +11,14 @@
 
 
 class StateDirectory:
-    """A directory that one process at a time uses.
+    """A directory that only one process at a time can use.
 
     Attributes:
         path: The directory.
     """
 
     def __init__(self, path: Path) -> None:
-        """Name the directory; the disk is not touched before `lock`."""
+        """Set the path; `lock` creates the directory."""
         self.path = path
         self._lock_descriptor: int | None = None
 
@@ -32,9 +32,13 @@
         self.path.mkdir(parents=True, exist_ok=True)
         flags = os.O_WRONLY | os.O_CREAT | os.O_CLOEXEC
         self._lock_descriptor = os.open(self.path / LOCK_FILE, flags, LOCK_FILE_MODE)
-        # Guard: two processes that share a state directory overwrite each other's snapshots. The kernel
-        # releases the lock when the process ends, so that a crash leaves no stale lock.
-        fcntl.flock(self._lock_descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        # Two processes that share a state directory would overwrite each other's snapshots. The kernel
+        # releases the lock when the process ends, so there is no stale lock after a crash.
+        try:
+            fcntl.flock(self._lock_descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        except BlockingIOError as error:
+            message = "another process holds the lock of the state directory"
+            raise BlockingIOError(error.errno, message, str(self.path / LOCK_FILE)) from error
 
     def unlock(self) -> None:
         """Release the lock; no effect if it is not held."""
--- a/tests/discovery_server/test_state_directory.py
+++ b/tests/discovery_server/test_state_directory.py
@@ -17,7 +17,7 @@
 def test_directory_is_created_and_holds_one_lock_until_it_is_unlocked(directory):
     directory.lock()
     other = StateDirectory(directory.path)
-    with pytest.raises(BlockingIOError):
+    with pytest.raises(BlockingIOError, match="another process holds the lock"):
         other.lock()
     other.unlock()
     directory.unlock()
