--- a/loadbalancer/discovery_server/endpoint_store.py
+++ b/loadbalancer/discovery_server/endpoint_store.py
@@ -21,15 +21,18 @@
 
 
 class ListLimitError(UpdateError):
-    """An update that would extend the list beyond its limits.
+    """An update with which the list would exceed its limits.
 
     Attributes:
         entries: The number of entries that the list would have.
         json_bytes: The size of their JSON, in bytes.
     """
 
-    def __init__(self, entries: int, json_bytes: int) -> None:
-        super().__init__(f"{entries} entries of {json_bytes} bytes exceed the limits of this list")
+    def __init__(self, entries: int, json_bytes: int, max_entries: int, max_bytes: int) -> None:
+        super().__init__(
+            f"the update would result in a list of {entries} entries with {json_bytes} bytes of JSON; "
+            f"at most {max_entries} entries and {max_bytes} bytes are allowed"
+        )
         self.entries = entries
         self.json_bytes = json_bytes
 
@@ -41,7 +44,7 @@
         name: The list's name in the configuration.
         revision: The current revision; 0 before the first list.
         initialized: Whether a list has been committed or restored. Until then no client may get a response,
-            since an empty list removes all endpoints.
+            since an empty list would remove all of its endpoints.
         records: The listed endpoints by uid, without tombstones.
         responses: The encoded responses at the current revision.
     """
@@ -70,8 +73,8 @@
     ) -> ChangeSet | None:
         """Issue a revision for the changes of these updates; None if they change nothing.
 
-        The list stays as it is until the change set is committed. A minimum revision above the current one
-        makes a change set in any case, if need be without records.
+        The list is unchanged until the change set is committed. On an initialized list, a minimum revision
+        above the current one always produces a change set, which has no records if no entry changes.
 
         Args:
             updates: The updates, in the order of their arrival.
@@ -79,8 +82,8 @@
             minimum_revision: The revision that the new one exceeds.
 
         Raises:
-            MissingListError: Changes arrived before any complete list.
-            ListLimitError: The list would grow beyond its limits.
+            MissingListError: An update with changes precedes the first complete list.
+            ListLimitError: The list would exceed its limits.
         """
         initialized = self.initialized or any(update.complete for update in updates)
         changed = merge_updates(self.records, updates, initialized=self.initialized)
@@ -95,11 +98,13 @@
 
     def commit(self, change_set: ChangeSet) -> None:
         """Apply a prepared change set to the list; all later responses include it."""
-        assert change_set.revision > self.revision, "a revision must not go back"
+        assert change_set.revision > self.revision, (
+            f"the change set's revision {change_set.revision} is not above the list's, {self.revision}"
+        )
         for record in change_set.records:
             self._apply(record)
-        # Guard: a client at revision 0 may hold a list of another server. A delta since revision 0 would
-        # leave the endpoints of that list in place, so the first list has no entry in the change log.
+        # A client at revision 0 may hold a list of another server. A delta since revision 0 would not remove
+        # the endpoints of that list, so the first list has no entry in the change log.
         if self.initialized:
             self._change_log.append(change_set, self.revision)
         self.revision = change_set.revision
@@ -107,15 +112,15 @@
         self.responses.reset(self.revision, self._json_bytes)
 
     def is_outdated_for(self, revision: int, now_ms: float) -> bool:
-        """Whether a client holds a newer revision: of another server, or one that this disk has lost."""
+        """Whether a client holds a newer revision: from another server, or lost with this server's disk."""
         return revision > self.revision and is_plausible(revision, now_ms)
 
     def snapshot(self, prepared: ChangeSet | None = None, lead_ticks: int = STARTUP_LEAD_TICKS) -> Snapshot:
         """The list as a snapshot.
 
         Args:
-            prepared: A change set that the snapshot includes as if it were committed.
-            lead_ticks: The lead over the clock with which the next process begins.
+            prepared: A change set that is not committed yet; the snapshot includes it.
+            lead_ticks: The lead over the clock with which the next process starts.
         """
         records = self.records
         change_sets = self._change_log.change_sets
@@ -141,8 +146,8 @@
         )
 
     def restore(self, snapshot: Snapshot, now_ms: float) -> None:
-        """Continue from the snapshot of an earlier process. Only before the first commit."""
-        assert not self.initialized, "a list is restored before its first commit"
+        """Restore the list from the snapshot of an earlier process. Must precede the first commit."""
+        assert not self.initialized, f"the list {self.name!r} is already initialized and can't be restored"
         self._clock.resume_after(snapshot.revision, snapshot.lead_ticks, now_ms)
         for record in snapshot.records:
             self._apply(record)
@@ -161,12 +166,12 @@
             if not record.removed:
                 entries += 1
                 json_bytes += len(record.entry_json)
-        # Guard: after a restart with lower limits, a list can exceed them. Updates that shrink it must not be
-        # rejected, so its present size is allowed.
+        # After a restart with lower limits, a list may exceed them. Updates that shrink it must not be
+        # rejected, so its current size is always allowed.
         max_entries = max(self._limits.max_entries, len(self.records))
         max_bytes = max(self._limits.max_bytes, self._json_bytes)
         if entries > max_entries or json_bytes > max_bytes:
-            raise ListLimitError(entries, json_bytes)
+            raise ListLimitError(entries, json_bytes, max_entries, max_bytes)
 
     def _apply(self, record: EndpointRecord) -> None:
         current = self.records.get(record.uid)
