--- a/loadbalancer/discovery_server/upstream_follower.py
+++ b/loadbalancer/discovery_server/upstream_follower.py
@@ -15,7 +15,7 @@
 from loadbalancer.events import UpdateKind
 from loadbalancer.http.addresses import Address
 
-TIMEOUT_CAUSE = "no response in time"
+REQUEST_FAILURE_CAUSE = "the request for the list failed or timed out"
 
 
 @dataclass(slots=True, frozen=True)
@@ -25,7 +25,7 @@
     Attributes:
         connected: Whether the upstream responded to the last request.
         address: The upstream.
-        cause: The cause of the failure, as far as it is known; empty if connected.
+        cause: The cause of the failure, a general one if no details are available; empty if connected.
     """
 
     connected: bool
@@ -51,7 +51,8 @@
             watch_timeout_ms: How long a watch waits for a change.
             rng: The random source of the backoff.
             on_update: Called with each response that has changes; the first one of a connection is complete.
-            on_status: Called when an upstream responds after failures, and at the first failure in a row.
+            on_status: Called at the first response, at the first one after failures, and at the first failure
+                in a row.
         """
         self._connected = False
         self._upstreams = upstreams
@@ -84,9 +85,10 @@
         self._schedule_reconnect()
 
     def _create_watch_client(self, watch_timeout_ms: float) -> WatchClient:
-        # Guard: each upstream counts its own revisions, and an upstream that has lost its disk may start to
-        # count again. A delta since a revision from another count would omit differences, so the first
-        # request of each connection is for the complete list. Each reconnect costs one complete list.
+        # Each upstream issues its own revisions, and an upstream that has lost its disk may issue the same
+        # ones for other states. A delta since a revision of another upstream, or from before the loss, would
+        # omit changes, so the first request on each connection is for the complete list. Trade-off: each
+        # reconnect transfers one complete list.
         options = WatchOptions(
             watch_timeout_ms, retries_forever=False, refresh_on_connect=True, parse=self._parse
         )
@@ -116,7 +118,7 @@
 
     def _on_failure(self) -> None:
         if not self._selector.consecutive_failures:
-            cause = self._parse_error or TIMEOUT_CAUSE
+            cause = self._parse_error or REQUEST_FAILURE_CAUSE
             self._on_status(UpstreamStatus(connected=False, address=self._address, cause=cause))
         self._selector.record_failure()
         self._schedule_reconnect()
--- a/loadbalancer/discovery_server/upstream_list.py
+++ b/loadbalancer/discovery_server/upstream_list.py
@@ -22,7 +22,7 @@
         EndpointListError: The list or one of its entries is malformed.
     """
     endpoint_list = parse_endpoint_list(document)
-    assert isinstance(document, dict), "the parser has checked it"
+    assert isinstance(document, dict), "`parse_endpoint_list` accepts only JSON objects"
     records = tuple(record_from_entry(entry) for entry in document["targets"])
     return UpstreamEndpointList(
         endpoint_list.revision,
--- a/loadbalancer/discovery_server/upstream_selector.py
+++ b/loadbalancer/discovery_server/upstream_selector.py
@@ -1,19 +1,19 @@
-"""Selects the upstream that is used next, and the backoff before it. No I/O, no clock."""
+"""Selects the next upstream, and the backoff before it is used. No I/O, no clock."""
 
 from __future__ import annotations
 
 from random import Random
 
 INITIAL_BACKOFF_S = 0.25  # upper bound of the backoff after a first failure; each further one doubles it
-# With the time to connect and the request that brings the change, this is well within 8 s of an upstream's
-# return.
+# Including the time to connect and to request the list, a change arrives well within 8 s after an upstream
+# recovers.
 MAX_BACKOFF_S = 2.0
 MAX_BACKOFF_DOUBLINGS = 8
 REJECTED_UPDATE_FAILURES = 4  # the number of failures that a rejected update counts as, at minimum
 
 
 class UpstreamSelector:
-    """Moves through the upstreams of a list, from the first one on, to the next one at each failure.
+    """Selects the upstreams of a list in order of preference; each failure selects the next one, cyclically.
 
     Attributes:
         index: The selected upstream, counted from 0 in order of preference.
@@ -36,8 +36,8 @@
 
     def record_failure(self) -> None:
         """Select the next upstream and draw the backoff before it is used."""
-        # Guard: the followers of all lists and all servers lose an upstream at the same moment. Without
-        # jitter they would all reconnect at the same moment too. The price is a longer backoff for some.
+        # The followers of all lists and all servers lose an upstream at the same moment. Without jitter they
+        # would all reconnect at the same moment too. Trade-off: the backoff is longer for some of them.
         doublings = min(self.consecutive_failures, MAX_BACKOFF_DOUBLINGS)
         longest_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0**doublings)
         self.backoff_s = self._rng.uniform(0.0, longest_s)
@@ -46,8 +46,8 @@
 
     def record_rejected_update(self) -> None:
         """Select the next upstream after an update that could not be applied."""
-        # Guard: each response counts as a success and resets the backoff, and a list that exceeds the limits
-        # is sent complete on each new connection. Without a minimum of failures it would be requested
-        # several times a second. The price is a later recovery once the list is within its limits again.
+        # Each response counts as a success and resets the backoff, and a list that exceeds the limits is sent
+        # complete on each new connection. Without a minimum number of failures it would be requested several
+        # times a second. Trade-off: recovery is later once the list is within its limits again.
         self.consecutive_failures = max(self.consecutive_failures, REJECTED_UPDATE_FAILURES)
         self.record_failure()
