--- a/loadbalancer/discovery_server/change_log.py
+++ b/loadbalancer/discovery_server/change_log.py
@@ -9,13 +9,13 @@
 
 
 class ChangeLog:
-    """The latest change sets, from which a delta since one of their revisions is made.
+    """The latest change sets, from which deltas since earlier revisions are computed.
 
-    A change set counts as one entry, and one more for each record. Once a limit is exceeded the oldest change
-    sets are discarded, even the last one, so that the log may be empty after an append.
+    A change set counts as one entry, plus one for each of its records. When a limit is exceeded, the oldest
+    change sets are discarded, even the only one, so the log may be empty after an append.
 
     Attributes:
-        resumable_revisions: The revisions from which the log leads to the current one.
+        resumable_revisions: The revisions since which the log contains every change.
     """
 
     def __init__(self, max_entries: int, max_bytes: int) -> None:
@@ -24,7 +24,7 @@
         self._max_entries = max_entries
         self._max_bytes = max_bytes
         self._change_sets: deque[ChangeSet] = deque()
-        self._base_revision = 0  # before the oldest change set
+        self._base_revision = 0  # the revision before the oldest change set
         self._entries = 0
         self._bytes = 0
 
@@ -38,7 +38,7 @@
         return self._base_revision if self.resumable_revisions else current
 
     def append(self, change_set: ChangeSet, previous_revision: int) -> None:
-        """Append the change set that follows this revision, and discard the oldest ones beyond the limits."""
+        """Append the change set that follows this revision, and discard the oldest ones over the limits."""
         if not self.resumable_revisions:
             self._base_revision = previous_revision
         self.resumable_revisions.add(previous_revision)
--- a/loadbalancer/discovery_server/records.py
+++ b/loadbalancer/discovery_server/records.py
@@ -1,4 +1,4 @@
-"""The values that the modules of the discovery server exchange: records, updates, change sets, snapshots."""
+"""Data types of the discovery server: records, updates, change sets and snapshots."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     """An endpoint's entry of the list, in its wire form.
 
     Attributes:
-        uid: The endpoint's identity, which survives its restarts.
+        uid: The endpoint's identifier, which is the same after its restarts.
         entry_json: The complete entry as JSON.
         removed: Whether the endpoint is no longer listed; such a record is a tombstone.
     """
@@ -26,7 +26,8 @@
     """An update from an upstream.
 
     Attributes:
-        complete: Whether the records are the complete list, not changes to the list that was sent before.
+        complete: Whether the records are the complete list; otherwise they are changes to the upstream's
+            previous list.
         records: The records, in the upstream's order.
     """
 
@@ -35,11 +36,11 @@
 
 
 class ChangeSet(msgspec.Struct, frozen=True, array_like=True):
-    """The changes that lead to a revision.
+    """The changes between a revision and the previous one.
 
     Attributes:
         revision: The revision after the changes.
-        records: The changed endpoints; empty if only the revision rises, for a client of another server.
+        records: The changed endpoints; empty if only the revision changes, for a client of another server.
     """
 
     revision: int
@@ -57,19 +58,19 @@
     omit_defaults=True,
     rename={"records": "rows", "base_revision": "base", "change_sets": "steps", "lead_ticks": "lead"},
 ):
-    """The state of an endpoint list that survives a restart.
+    """The stored state of an endpoint list, from which the next process continues.
 
-    The stored field names are those of the first version, so that all versions read each other's files.
+    The stored field names are those of the first version, so that all versions can read each other's files.
 
     Attributes:
         name: The list's name in the configuration.
-        tag: The low bits of each revision, which differ from server to server.
+        tag: The low bits of each revision, which distinguish the revisions of different servers.
         revision: The revision of the records.
         records: The listed endpoints at this revision, without tombstones.
         base_revision: The revision before the first of the change sets.
         change_sets: The change log, oldest first.
-        lead_ticks: The lead over the clock, in ticks, with which the next process begins; 0 in the files of
-            versions that stored none.
+        lead_ticks: The lead over the clock, in ticks, with which the next process starts; 0 in the files of
+            versions that don't store it.
     """
 
     name: str
--- a/loadbalancer/discovery_server/response_cache.py
+++ b/loadbalancer/discovery_server/response_cache.py
@@ -23,7 +23,7 @@
     """
 
     def __init__(self, records: Mapping[str, EndpointRecord], change_log: ChangeLog) -> None:
-        """Create the responses of these records, by uid, and of this log."""
+        """Create an empty cache that reads these records, by uid, and this change log."""
         self.encodings = 0
         self._records = records
         self._change_log = change_log
@@ -41,9 +41,9 @@
         self._deltas.clear()
 
     def since(self, revision: int | None) -> bytes | None:
-        """The body for a client that holds this revision, or no list; None if the client is up to date.
+        """The body for a client at this revision (None: it has no list), or None if the client is up to date.
 
-        The body is a delta merged by uid if the log reaches back to the revision and the delta is shorter
+        The body is a delta merged by uid if the change log covers the revision and the delta is not longer
         than the list, otherwise the complete list.
         """
         if revision == self._revision:
