--- a/loadbalancer/discovery_server/unread_responses.py
+++ b/loadbalancer/discovery_server/unread_responses.py
@@ -1,7 +1,7 @@
 """Limits the bytes of responses that clients have not read, and disconnects clients that don't read.
 
-Unread and unsent mean one thing here: bytes that the kernel has not accepted yet. A response is unread while
-it has unsent bytes. What the kernel has accepted counts as read, whether or not the client has read it.
+A byte is unsent until the kernel accepts it, and a response is unread while it has unsent bytes. Bytes that
+the kernel has accepted count as read, whether or not the client has read them.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 from loadbalancer.discovery_server.periodic_task import PeriodicTask
 
-MIN_READ_TIME_S = 1.0  # that each client has to read a response, also while the total limit is exceeded
+MIN_READ_TIME_S = 1.0  # for each client to read a response, even while the total limit is exceeded
 MAX_CHECK_INTERVAL_S = 0.5
 CHECKS_PER_TIMEOUT = 4.0
 
@@ -28,23 +28,23 @@
         """The number of bytes that the kernel has not accepted yet."""
 
     def abort(self) -> None:
-        """Close the connection at once, and discard its unsent bytes."""
+        """Close the connection immediately, and discard its unsent bytes."""
 
 
 class UnreadResponses:
     """Tracks the connections that have an unread response. Must be created within a running event loop.
 
     Attributes:
-        dropped_clients: Clients disconnected since the start because they did not read.
+        dropped_clients: Clients disconnected since the start because they have not read a response in time.
     """
 
     def __init__(self, max_unsent_bytes: int, unread_timeout_ms: float) -> None:
-        """Limit the unsent bytes of all clients together, and the time in ms for which one may not read."""
+        """Limit the unsent bytes over all clients, and the time in ms for which a response may be unread."""
         self.dropped_clients = 0
         self._loop = asyncio.get_running_loop()
         self._max_unsent_bytes = max_unsent_bytes
         self._unread_timeout_s = unread_timeout_ms / 1000.0
-        # The loop's time in seconds since when each connection's response is unread, oldest first.
+        # For each connection, the loop's time in seconds since which its response is unread; oldest first.
         self._unsent_since: dict[BufferedConnection, float] = {}
         # An upper bound: bytes that have been sent since the last check are still counted.
         self._unsent_bytes = 0
@@ -53,7 +53,7 @@
 
     @property
     def connection_count(self) -> int:
-        """The number of connections that had an unread response at the last check, or since."""
+        """The number of tracked connections; each check removes those without an unread response."""
         return len(self._unsent_since)
 
     @property
@@ -78,7 +78,7 @@
         self._unsent_bytes += unsent_bytes
 
     def enforce_limit(self) -> None:
-        """Disconnect slow clients early if the limit is exceeded; `over_limit` may still be true after it."""
+        """Disconnect slow clients early if the limit is exceeded; it may still be exceeded afterwards."""
         if self.over_limit:
             self._drop_slow_clients(min(MIN_READ_TIME_S, self._unread_timeout_s))
 
@@ -86,13 +86,13 @@
         self._drop_slow_clients(self._unread_timeout_s)
 
     def _drop_slow_clients(self, timeout_s: float) -> None:
-        """Disconnect clients that leave a response unread for longer, and count the others' unsent bytes."""
+        """Disconnect clients whose response is unread for longer, and sum the others' unsent bytes."""
         latest_start = self._loop.time() - timeout_s
         self._unsent_bytes = 0
         for connection, since in list(self._unsent_since.items()):
             unsent_bytes = connection.unsent_bytes if connection.is_open else 0
-            # Guard: the buffer of a client that never reads would grow without limit. Disconnecting it frees
-            # the buffer; a slow client that is disconnected has to connect and request its list again.
+            # The buffer of a client that never reads would grow without limit. Disconnecting it frees the
+            # buffer; the trade-off is that a slow client has to reconnect and request its list again.
             if unsent_bytes and since < latest_start:
                 self.dropped_clients += 1
                 connection.abort()
--- a/loadbalancer/discovery_server/update_pipeline.py
+++ b/loadbalancer/discovery_server/update_pipeline.py
@@ -1,4 +1,4 @@
-"""Applies the updates of one list: from the upstream follower to the disk and then to the endpoint store."""
+"""Applies the updates of one list: writes each change set to the disk, then commits it to the store."""
 
 from __future__ import annotations
 
@@ -16,14 +16,16 @@
 
 
 class RevisionNotReservedError(Exception):
-    """The snapshots don't state a lead yet that allows a revision above the client's.
+    """No revision above the client's can be issued until the snapshots state a longer lead.
 
     Attributes:
         revision: The client's revision.
     """
 
     def __init__(self, revision: int) -> None:
-        super().__init__(f"no snapshot reserves a revision above {revision} yet")
+        super().__init__(
+            f"no revision above {revision} can be issued until the snapshots state a longer lead"
+        )
         self.revision = revision
 
 
@@ -43,8 +45,8 @@
 class UpdatePipeline:
     """Applies updates in order and commits each change set once its snapshot is on the disk.
 
-    Updates that arrive while a snapshot is written are merged into the next change set. A disk that fails or
-    exceeds the time limit doesn't delay a change: the writer logs the failure, and the lead over the clock
+    Updates that arrive while a snapshot is being written are merged into the next change set. A write that
+    fails or times out doesn't block a change: the writer logs the failure, and the lead over the clock
     prevents the next process from issuing the same revision.
 
     Attributes:
@@ -66,7 +68,7 @@
             store: The endpoint list.
             writer: Writes the list's snapshots.
             callbacks: The receivers of changes and rejections.
-            clock_ms: Returns the Unix time in milliseconds, which never goes back.
+            clock_ms: Returns the Unix time in milliseconds, which never decreases.
             log: Receives the log events of the list.
         """
         self.store = store
@@ -75,7 +77,7 @@
         self._clock_ms = clock_ms
         self._log = log
         self._pending: list[EndpointUpdate] = []
-        self._reserved_revision = 0  # each snapshot states a lead that exceeds it
+        self._reserved_revision = 0  # the lead in each later snapshot covers it
         self._reservation_pending = False
         self._task: asyncio.Task[None] | None = None
 
@@ -89,20 +91,20 @@
     def response_since(self, revision: int | None) -> bytes | None:
         """The response body for a client that holds this revision; None if the client is up to date.
 
-        The list's revision rises above that of a client of another server.
+        If the client's revision is a later one of another server, the list's revision is advanced above it.
 
         Raises:
-            RevisionNotReservedError: The disk has to be written first; the client has to repeat its request.
+            RevisionNotReservedError: A snapshot must be written first; the client has to repeat its request.
         """
         now_ms = self._clock_ms()
         store = self.store
         if revision is not None and store.initialized and store.is_outdated_for(revision, now_ms):
-            # Guard: a client of another server would see its revision go back.
+            # Without this, a client of another server would receive a revision below its own.
             self._advance_past(revision, now_ms)
         return store.responses.since(revision)
 
     async def drain(self) -> None:
-        """Apply the queued updates, and write the snapshot that a failed write has left out."""
+        """Apply the queued updates, and write the snapshot again if the last write failed."""
         if self._task is not None:
             await self._task
         await self.writer.wait_for_write()
@@ -116,18 +118,18 @@
 
     def _advance_past(self, revision: int, now_ms: float) -> None:
         next_revision = self.store.next_revision(now_ms, revision)
-        # Guard: the change set isn't stored, since no entry changes. The next process could issue its
-        # revision for another state, unless it begins above it. A revision beyond the lead that both
-        # snapshots state is therefore reserved first. Trade-off: the client has to repeat its request, while
-        # the disk fails too.
+        # The change set isn't stored, since no entry changes. The next process could issue its revision for
+        # another state unless it starts above it. A revision beyond the lead that both snapshots state is
+        # therefore reserved first. Trade-off: the client has to repeat its request, for as long as writes to
+        # the disk fail.
         if required_lead(next_revision, now_ms) > self.writer.durable_lead_ticks:
             self._reserve(next_revision)
             raise RevisionNotReservedError(revision)
         change_set = self.store.prepare((), now_ms, revision)
-        assert change_set is not None, "a newer minimum revision always makes a change set"
+        assert change_set is not None, f"no change set for the minimum revision {revision}"
         self.store.commit(change_set)
-        # Guard: an empty change set, too, can remove the oldest revision from the change log. Watches that
-        # wait at that revision are due the complete list; without a notification they get it at their
+        # Even an empty change set can remove the oldest revision from the change log. The watches at that
+        # revision must get the complete list; without a notification they would get it only at their
         # deadline.
         self._callbacks.on_change(self.store)
 
@@ -164,13 +166,13 @@
         if change_set is None:
             return
         await self._write(change_set)
-        # A client of another server may have advanced the list's revision during the write.
+        # A request from a client of another server can advance the list's revision during the write.
         if change_set.revision <= self.store.revision:
             change_set = self.store.prepare(updates, self._clock_ms()) or change_set
         self._commit(change_set)
 
     async def _write(self, prepared: ChangeSet | None = None) -> None:
-        """Write the list, as if the prepared change set were committed, with the lead that it requires."""
+        """Write a snapshot that includes the prepared change set and states the lead that it requires."""
         revision = self.store.revision if prepared is None else prepared.revision
         lead_ticks = required_lead(max(revision, self._reserved_revision), self._clock_ms())
         await self.writer.write(self.store.snapshot(prepared, lead_ticks))
