--- a/loadbalancer/discovery_server/__main__.py
+++ b/loadbalancer/discovery_server/__main__.py
@@ -44,8 +44,9 @@
         )
     )
     logging.basicConfig(level=logging.INFO, handlers=[handler])
-    # Guard: the watch client logs a warning for each failed request. A discovery server may follow thousands
-    # of lists, so an outage of its upstream would flood the log. The followers log each outage once instead.
+    # The watch client logs a warning for each failed request. A discovery server may follow thousands of
+    # lists, so an outage of its upstream would produce thousands of warnings. The other packages log only
+    # errors instead, and the followers log each outage once.
     logging.getLogger("loadbalancer").setLevel(logging.ERROR)
     logging.getLogger(PROGRAM).setLevel(logging.INFO)
     log: BoundLogger = structlog.get_logger(PROGRAM)
@@ -87,7 +88,7 @@
 
 
 def _exit(message: str, code: int) -> NoReturn:
-    """End the process with this exit code, and the message as one line on standard error."""
+    """Print the message as one line on standard error, and end the process with this exit code."""
     click.echo(f"{PROGRAM}: {' '.join(message.split())}", err=True)
     sys.exit(code)
 
--- a/loadbalancer/discovery_server/descriptor_budget.py
+++ b/loadbalancer/discovery_server/descriptor_budget.py
@@ -1,4 +1,4 @@
-"""The share of the process's file descriptors that clients' connections may use."""
+"""Computes how many client connections the process's limit of file descriptors allows."""
 
 from __future__ import annotations
 
@@ -6,7 +6,8 @@
 
 RESERVED_DESCRIPTORS = 64  # for everything except clients and lists
 DESCRIPTORS_PER_LIST = 2  # the listening socket and the upstream connection
-CLIENT_FRACTION = 0.9  # of the remaining descriptors; a burst exceeds the connection limit until it is closed
+# Of the remaining descriptors. In a burst, connections over the limit use descriptors until they are closed.
+CLIENT_FRACTION = 0.9
 
 
 def descriptor_limit() -> int | None:
@@ -16,6 +17,6 @@
 
 
 def available_connections(descriptors: int, list_count: int) -> int:
-    """The number of client connections that this many descriptors allow; negative if the lists need more."""
+    """The number of client connections that these descriptors allow; negative if the lists need more."""
     reserved = RESERVED_DESCRIPTORS + DESCRIPTORS_PER_LIST * list_count
     return int((descriptors - reserved) * CLIENT_FRACTION)
--- a/loadbalancer/discovery_server/frontend.py
+++ b/loadbalancer/discovery_server/frontend.py
@@ -17,7 +17,7 @@
 
 PATH = b"/discovery/hosts"
 RETRY_AFTER_MS = 1000.0
-LINGER_TIMEOUT_S = 0.5  # for which a shutdown waits for clients to read their last responses
+LINGER_TIMEOUT_S = 0.5  # the longest that a shutdown waits for clients to read their last responses
 LINGER_POLL_S = 0.01
 
 
@@ -38,7 +38,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether requests for readiness get a 200."""
+        """Whether readiness requests get status 200."""
         return self._listener.ready
 
     @property
@@ -47,7 +47,7 @@
         return len(self._listener.connections)
 
     async def serve_list(self, pipeline: UpdatePipeline, address: Address) -> Address:
-        """Serve a list at this address; returns the bound one, which differs where the port is 0.
+        """Serve a list at this address and return the bound address, which differs if the port is 0.
 
         Raises:
             OSError: The address can't be bound.
@@ -56,11 +56,11 @@
         return await self._listener.listen(host, port, context=pipeline)
 
     def set_ready(self, *, ready: bool) -> None:
-        """Set the response to requests for readiness: 200 if ready, else 503."""
+        """Set the status of readiness requests: 200 if ready, otherwise 503."""
         self._listener.ready = ready
 
     def notify(self, store: EndpointStore) -> None:
-        """Respond to the watches that a change of this list concerns."""
+        """Respond to the watches that a change of this list affects."""
         self._watches.notify(store)
 
     async def drain(self) -> None:
@@ -101,7 +101,7 @@
 
     def _serve_query(self, request: HttpRequest, query: WatchQuery) -> None:
         pipeline = request.connection.context
-        assert isinstance(pipeline, UpdatePipeline), "`serve_list` sets no other context"
+        assert isinstance(pipeline, UpdatePipeline), f"expected a pipeline as context, found {pipeline!r}"
         if not pipeline.store.initialized:
             self._reject(request, HTTPStatus.SERVICE_UNAVAILABLE)
             return
--- a/loadbalancer/discovery_server/served_list.py
+++ b/loadbalancer/discovery_server/served_list.py
@@ -1,4 +1,4 @@
-"""One endpoint list of a discovery server, from its upstreams and its snapshot to its store."""
+"""One endpoint list of a discovery server: restores it, follows its upstreams and applies their updates."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
         config: The configuration of the process.
         executor: Runs the writes of snapshots.
         rng: Draws the tags and the seeds of the lists' backoffs, in the order of the lists.
-        clock_ms: Unix time in milliseconds, which never goes back.
+        clock_ms: Returns the Unix time in milliseconds, which never decreases.
         on_change: Called after each commit to a list.
         log: Receives the log events of all lists.
     """
@@ -80,7 +80,7 @@
         self.follower.restart_after_rejection()
 
     def _restore_store(self, snapshot_store: SnapshotStore) -> EndpointStore:
-        """A store with the newest valid snapshot; an uninitialized one without a valid snapshot."""
+        """Create the store from the newest valid snapshot; it is uninitialized if there is none."""
         name, log = self.config.name, self._shared.log
         snapshot, errors = snapshot_store.load()
         for error in errors:
--- a/loadbalancer/discovery_server/server.py
+++ b/loadbalancer/discovery_server/server.py
@@ -1,4 +1,4 @@
-"""A discovery server process: puts its parts together, starts them and shuts them down."""
+"""A discovery server process: creates its components, starts them and shuts them down."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 
 
 class DiscoveryServer:
-    """The lists of a configuration and what serves them. Must be created within a running event loop."""
+    """Serves the lists of a configuration. Must be created within a running event loop."""
 
     def __init__(self, config: Config, log: BoundLogger) -> None:
-        """Create a server that has touched neither the disk nor a socket."""
+        """Create the components; `start` opens the files and sockets."""
         self._config = config
         self._log = log
         self._loop = asyncio.get_running_loop()
@@ -62,7 +62,7 @@
         return self._unread
 
     def statistics(self) -> ServerStatistics:
-        """The gauges and counters at this moment."""
+        """The current gauges and counters."""
         return ServerStatistics(
             lists=len(self._lists),
             initialized_lists=sum(served.store.initialized for served in self._lists),
@@ -77,7 +77,7 @@
         )
 
     async def start(self) -> None:
-        """Serve the lists of the snapshots, and follow the upstreams.
+        """Restore the lists from their snapshots, serve them, and follow the upstreams.
 
         Raises:
             OSError: The state directory can't be used, or an address can't be bound.
@@ -96,7 +96,7 @@
         self._maintenance.start()
 
     async def stop(self) -> None:
-        """Shut down gracefully: write the lists that clients have received, and respond to all watches.
+        """Shut down gracefully: store the lists that clients have received, and respond to all watches.
 
         The lists are drained one after the other. Each waits for its queued updates and its writes, which
         takes seconds if the disk is slow or fails. The total grows with the number of lists and has no bound.
@@ -109,7 +109,7 @@
         self.close()
 
     def close(self) -> None:
-        """Release all resources at once, without waiting for clients or the disk."""
+        """Release all resources immediately, without waiting for clients or the disk."""
         for served in self._lists:
             served.follower.close()
         self._frontend.close()
@@ -124,7 +124,7 @@
         )
 
     def _clock_ms(self) -> float:
-        """Unix time in milliseconds, which doesn't go back while the process runs."""
+        """Unix time in milliseconds, which doesn't decrease while the process runs."""
         return (self._loop.time() + self._clock_offset_s) * 1000.0
 
     def _on_change(self, store: EndpointStore) -> None:
@@ -151,7 +151,7 @@
     available = descriptor_budget.available_connections(descriptors, len(config.lists))
     if available >= configured:
         return configured
-    # Guard: when `accept` fails for lack of a descriptor, asyncio stops accepting on all lists for a second.
-    # Fewer connections than configured are accepted instead.
+    # When `accept` fails for lack of a descriptor, asyncio stops accepting on all lists for a second. The
+    # lower limit prevents that; the trade-off is that fewer connections than configured are accepted.
     log.warning("fewer descriptors than connections", connections=configured, available=available)
     return max(1, available)
--- a/loadbalancer/discovery_server/statistics.py
+++ b/loadbalancer/discovery_server/statistics.py
@@ -12,14 +12,14 @@
 
     Attributes:
         lists: Configured lists.
-        initialized_lists: Lists that have an endpoint list and can be served.
-        connected_upstreams: Lists whose upstream has answered the last request.
+        initialized_lists: Lists that have been received or restored, so that they can be served.
+        connected_upstreams: Lists whose upstream has responded to the last request.
         connections: Open connections of clients.
         waiting_watches: Watches without a response.
         completed_watches: Responses to watches since the start.
         encodings: Encoded response bodies since the start.
         rejected_requests: Requests with a 4xx or 503 response since the start.
-        dropped_clients: Clients disconnected since the start because they did not read a response.
+        dropped_clients: Clients disconnected since the start because they have not read a response in time.
         outdated_snapshots: Lists whose newest snapshot is not on the disk.
     """
 
--- a/loadbalancer/discovery_server/watch_registry.py
+++ b/loadbalancer/discovery_server/watch_registry.py
@@ -1,8 +1,8 @@
 """The waiting watches of all lists of a process, and their completion in batches. No I/O; times in ms.
 
-A change moves the watches that are due a response to the outbox. `flush` completes a batch of them with the
-list as it is then. A burst of changes therefore makes one response, and the event loop does other work
-between the batches of a change for thousands of watches.
+A change moves the watches that it affects to the outbox. `flush` completes a batch of them with the list as
+it is at that time. A burst of changes therefore produces one response for each watch, and the event loop runs
+other callbacks between the batches of a change that affects thousands of watches.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
     def cancel(self) -> None:
         """End the watch without a response: its client has disconnected."""
-        self._send_body = None  # releases the connection
+        self._send_body = None  # releases the reference to the connection
 
     def complete(self, body: bytes) -> None:
         """Send the response, unless the watch has been completed or cancelled."""
@@ -65,15 +65,15 @@
         self.completed = 0
         self._limit = limit
         self._by_revision: dict[EndpointStore, dict[int, dict[Watch, None]]] = {}
-        # Guard: with one event loop timer a watch, the timer of a watch that a change completed would stay in
-        # the loop until its deadline, up to a minute. The timer wheel holds the watches by deadline tick
+        # With one event loop timer for each watch, the timer of a completed watch would remain in the loop
+        # until the watch's deadline, up to a minute. The timer wheel holds the watches by deadline tick
         # instead.
         self._by_deadline: dict[int, dict[Watch, None]] = {}
         self._deadline_ticks: list[int] = []  # a heap of the wheel's keys
         self._outbox: deque[Watch] = deque()
 
     def add(self, watch: Watch, deadline_ms: float) -> bool:
-        """Hold the watch until its deadline; False, without holding it, if the registry is full."""
+        """Hold the watch until its deadline; return False, without holding it, if the registry is full."""
         if self.count >= self._limit:
             return False
         self.count += 1
@@ -92,7 +92,7 @@
             self._remove(watch)
 
     def notify(self, store: EndpointStore) -> None:
-        """Move the watches that the list's change concerns to the outbox."""
+        """Move the watches that a change of this list affects to the outbox."""
         for revision in self.waiting_revisions(store):
             if store.responses.since(revision) is not None:
                 for watch in list(self._by_revision[store][revision]):
@@ -105,7 +105,7 @@
     def expire(self, now_ms: float) -> None:
         """Move the watches whose deadline has passed to the outbox."""
         while self._deadline_ticks and self._deadline_ticks[0] * DEADLINE_TICK_MS <= now_ms:
-            # The heap may hold a tick whose watches have ended, and hold a tick twice.
+            # The heap may contain a tick without watches, and the same tick twice.
             deadline_tick = heapq.heappop(self._deadline_ticks)
             for watch in list(self._by_deadline.get(deadline_tick, ())):
                 self._move_to_outbox(watch)
@@ -117,7 +117,7 @@
 
     @property
     def next_deadline_ms(self) -> float | None:
-        """The time at which `expire` has to be called next; None without a waiting watch."""
+        """The time at which `expire` has to be called next; None if no watch is waiting."""
         while self._deadline_ticks and self._deadline_ticks[0] not in self._by_deadline:
             heapq.heappop(self._deadline_ticks)
         return self._deadline_ticks[0] * DEADLINE_TICK_MS if self._deadline_ticks else None
--- a/loadbalancer/discovery_server/watch_scheduler.py
+++ b/loadbalancer/discovery_server/watch_scheduler.py
@@ -8,13 +8,13 @@
 from loadbalancer.discovery_server.unread_responses import UnreadResponses
 from loadbalancer.discovery_server.watch_registry import Watch, WatchRegistry
 
-FLUSH_BATCH_SIZE = 64  # responses written in one turn of the event loop
+FLUSH_BATCH_SIZE = 64  # responses written in one iteration of the event loop
 UNREAD_RECHECK_S = 0.02  # between two attempts to flush while clients have too many unread bytes
 EXPIRY_LEAD_MS = 1.0  # a timer may fire early by the resolution of the loop's clock
 
 
 class WatchScheduler:
-    """Drives a registry of watches with the event loop's timers. Must be created within a running loop."""
+    """Schedules the completion of a registry's watches. Must be created within a running event loop."""
 
     def __init__(self, registry: WatchRegistry, unread: UnreadResponses) -> None:
         """Complete the watches of this registry, but not while clients have too many unread bytes."""
@@ -26,7 +26,7 @@
         self._expiry_ms: float | None = None
 
     def add(self, watch: Watch, timeout_ms: float) -> bool:
-        """Let a watch wait for a change for this time; False if the registry has no capacity for it."""
+        """Add a watch that waits for a change up to this time; False if the registry is full."""
         now_ms = self._loop.time() * 1000.0
         if not self._registry.add(watch, now_ms + timeout_ms):
             return False
@@ -38,7 +38,7 @@
         self._registry.cancel(watch)
 
     def notify(self, store: EndpointStore) -> None:
-        """Respond to the watches that a change of this list concerns."""
+        """Respond to the watches that a change of this list affects."""
         self._registry.notify(store)
         self._schedule_flush()
 
@@ -65,9 +65,9 @@
             if self._unread.over_limit:
                 self._loop.call_later(UNREAD_RECHECK_S, self._flush)
                 return
-        # Guard: a change that concerns thousands of watches blocks the event loop if all responses are
-        # written in one turn. Batches let other events through; the last watch gets its response a few
-        # turns later.
+        # A change that affects thousands of watches blocks the event loop if all responses are written in
+        # one iteration. Between batches other callbacks run; the last watch gets its response a few
+        # iterations later.
         self._flush_scheduled = self._registry.flush(FLUSH_BATCH_SIZE)
         if self._flush_scheduled:
             self._loop.call_soon(self._flush)
