--- a/loadbalancer/proxy/pending_request.py
+++ b/loadbalancer/proxy/pending_request.py
@@ -142,8 +142,8 @@
             self._on_disconnect(pending)
         return not pending.ended
 
-    def forget_if_complete(self, pending: PendingRequest) -> None:
-        """Forget a request that has ended, unless an attempt of it is in flight."""
+    def remove_if_complete(self, pending: PendingRequest) -> None:
+        """Remove a request that has ended, unless an attempt of it is in flight."""
         if pending.ended and not pending.attempts_in_flight:
             self._by_id.pop(pending.incoming.request_id, None)
 
@@ -163,7 +163,7 @@
         # Guard: where the site forbids cancels the policy returns none, and an attempt that waits for its
         # connection would be sent after its client has disconnected. Such an attempt is cancelled here.
         pending.cancel_unsent_attempts()
-        self.forget_if_complete(pending)
+        self.remove_if_complete(pending)
 
     def _on_disconnect(self, pending: PendingRequest) -> None:
         if not pending.ended:
--- a/loadbalancer/proxy/request_forwarding.py
+++ b/loadbalancer/proxy/request_forwarding.py
@@ -110,7 +110,7 @@
         pending.last_result = result
         if result is AttemptResult.OK and response is not None:
             self.requests.respond(pending, HTTPStatus.OK, bytes(response.body))
-        self.requests.forget_if_complete(pending)
+        self.requests.remove_if_complete(pending)
         outcome = AttemptOutcome(
             request_id=action.request_id,
             attempt=attempt.number,
