--- a/loadbalancer/proxy/statistics.py
+++ b/loadbalancer/proxy/statistics.py
@@ -13,7 +13,7 @@
 logger = logging.getLogger(__name__)
 
 LOG_INTERVAL_S = 10.0
-HEARTBEAT_INTERVAL_S = 0.1
+LAG_CHECK_INTERVAL_S = 0.1
 
 
 class Statistics:
@@ -114,26 +114,26 @@
         self._statistics = statistics
         self._gauges = gauges
         self._loop = asyncio.get_running_loop()
-        self._heartbeat: asyncio.TimerHandle | None = None
+        self._lag_timer: asyncio.TimerHandle | None = None
         self._log_timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
         """Log the first line now."""
-        self._on_heartbeat(self._loop.time())
+        self._check_lag(self._loop.time())
         self._log_statistics()
 
     def close(self) -> None:
         """Stop logging."""
-        for timer in (self._heartbeat, self._log_timer):
+        for timer in (self._lag_timer, self._log_timer):
             if timer is not None:
                 timer.cancel()
 
-    def _on_heartbeat(self, due_s: float) -> None:
+    def _check_lag(self, scheduled_s: float) -> None:
         """Measure how late the event loop runs a timer."""
         now_s = self._loop.time()
-        self._statistics.event_loop_lag_s = max(self._statistics.event_loop_lag_s, now_s - due_s)
-        next_s = now_s + HEARTBEAT_INTERVAL_S
-        self._heartbeat = self._loop.call_at(next_s, self._on_heartbeat, next_s)
+        self._statistics.event_loop_lag_s = max(self._statistics.event_loop_lag_s, now_s - scheduled_s)
+        next_s = now_s + LAG_CHECK_INTERVAL_S
+        self._lag_timer = self._loop.call_at(next_s, self._check_lag, next_s)
 
     def _log_statistics(self) -> None:
         fields = self._statistics.fields() | self._gauges().fields()
--- a/tests/discovery/test_watch_timing.py
+++ b/tests/discovery/test_watch_timing.py
@@ -102,7 +102,7 @@
 @pytest.mark.parametrize("fault", FAULTS)
 def test_change_is_notified_in_time_whatever_requests_failed_before(mode, fault, monkeypatch):
     """Discovery is back immediately after an attempt has been sent, or at a random time."""
-    monkeypatch.setattr(statistics, "HEARTBEAT_INTERVAL_S", 3600.0)
+    monkeypatch.setattr(statistics, "LAG_CHECK_INTERVAL_S", 3600.0)
     delay_s, outage = longest_notification_delay(mode, fault)
     assert delay_s <= NOTIFICATION_LIMIT_S, f"notified {delay_s:.2f} s after discovery's return: {outage}"
 
