--- a/loadbalancer/proxy/config.py
+++ b/loadbalancer/proxy/config.py
@@ -21,9 +21,10 @@
 
 RESERVED_DESCRIPTORS = 16  # file descriptors for the listener, discovery, standard streams and the event loop
 MIN_USABLE_DESCRIPTORS = 16
-DOWNSTREAM_FRACTION = 0.58  # of the other descriptors, for clients' connections, including lingering ones
-# Of the same, for connections to endpoints. The remaining 7% are about six accept batches, see
-# `ACCEPT_BATCH_DIVISOR`; a burst has up to five of them open in addition to both shares.
+# The fractions divide the descriptors that are not reserved between clients' connections, including lingering
+# ones, and connections to endpoints. The remaining 7% are about six accept batches (`ACCEPT_BATCH_DIVISOR`):
+# in a burst, up to five batches of connections are open in addition to both shares.
+DOWNSTREAM_FRACTION = 0.58
 UPSTREAM_FRACTION = 0.35
 
 Number = TypeVar("Number", int, float)
@@ -37,13 +38,13 @@
     listen: Address
     discovery: Address
     seed: int
-    known_endpoints: EndpointList  # in force from the start until discovery responds
+    known_endpoints: EndpointList  # used from the start until the first response of discovery
     settings: Settings
     descriptor_limit: int = DEFAULT_DESCRIPTOR_LIMIT  # file descriptors of the process
     max_open_requests: int = DEFAULT_MAX_OPEN_REQUESTS
     endpoint_idle_timeout_ms: float = DEFAULT_ENDPOINT_IDLE_TIMEOUT_MS  # of the endpoints' own listeners
     connect_timeout_ms: float = DEFAULT_CONNECT_TIMEOUT_MS
-    # A proxy whose last poll of discovery is longer ago than this counts as notified of every change.
+    # Once this has passed since the proxy's last poll of discovery, it counts as notified of every change.
     discovery_poll_deadline_ms: float = DEFAULT_DISCOVERY_POLL_DEADLINE_MS
 
     @property
@@ -65,18 +66,23 @@
     """Parse the configuration file's content.
 
     Raises:
-        ConfigurationError: the content is malformed or a value is out of range.
+        ConfigurationError: the content is not valid JSON, lacks a required key, or has a value of the wrong
+            type or out of range.
     """
     try:
         document: JsonObject = orjson.loads(data)
     except orjson.JSONDecodeError as error:
-        raise ConfigurationError("file", str(error)) from error
+        raise ConfigurationError("file", f"not valid JSON: {error}") from error
     try:
         return _config(document)
     except KeyError as error:
-        raise ConfigurationError(str(error.args[0]), "missing") from error
+        raise ConfigurationError(
+            str(error.args[0]), "required key is missing from the configuration file or one of its objects"
+        ) from error
     except (TypeError, AttributeError) as error:
-        raise ConfigurationError("file", f"malformed: {error}") from error
+        raise ConfigurationError(
+            "file", f"expected a JSON object whose values have the documented types: {error}"
+        ) from error
 
 
 def _config(document: JsonObject) -> Config:
@@ -120,7 +126,7 @@
 
 
 def _positive(section: JsonObject, key: str, default: Number) -> Number:
-    """The number of this key, or the default if the key is absent."""
+    """The number above 0 that this key has, or the default if the key is absent or null."""
     value: Number | None = section.get(key)
     if value is None:
         return default
