--- a/loadbalancer/proxy/connection_pool.py
+++ b/loadbalancer/proxy/connection_pool.py
@@ -8,19 +8,19 @@
 from loadbalancer.http.addresses import Address
 from loadbalancer.http.client_connection import ClientConnection
 
-# Of the time after which an endpoint closes an idle connection; the pool closes it well before that.
+# Of the time after which an endpoint closes an idle connection, so that the pool closes it well before that.
 IDLE_TIMEOUT_FRACTION = 0.5
-REUSE_DELAY_S = 0.01  # after a response, in which a faulty second one may follow it
+REUSE_DELAY_S = 0.01  # after a response; a faulty endpoint may send a second one within this time
 SWEEPS_PER_IDLE_TIMEOUT = 4
 
 
 class EndpointConnections:
-    """The connections to one endpoint, from one start of the endpoint to the next.
+    """The connections to one endpoint; one object for each start of the endpoint.
 
     Attributes:
-        address: the endpoint listens there.
+        address: the address that the endpoint listens on.
         started_ms: the endpoint's start in Unix time; None: long ago.
-        removed: whether the endpoint has left the pool, so that no connection to it may be kept.
+        removed: whether the endpoint has been removed from the pool, so that its connections are not reused.
     """
 
     __slots__ = ("_idle", "_removal_callbacks", "address", "removed", "started_ms")
@@ -34,15 +34,15 @@
 
     @property
     def idle(self) -> Sequence[ClientConnection]:
-        """Connections that carry no request, the one idle for longest first."""
+        """The connections without a request, the one idle for longest first."""
         return self._idle
 
     def take_idle(self, now_s: float, idle_timeout_s: float) -> ClientConnection | None:
-        """Take out the usable connection that became idle last; close those that are found unusable."""
-        # Guard: a faulty endpoint can send a second response 1 to 4 ms after the first. On a connection that
-        # already carries the next request it would be served to that request. A connection is therefore not
-        # reused for `REUSE_DELAY_S` after its response. Trade-off: requests that come closer together than
-        # that need a new connection.
+        """Remove and return the most recently idle usable connection; close the unusable ones before it."""
+        # A faulty endpoint can send a second response 1 to 4 ms after the first. If the connection already
+        # carries the next request, that request would be served the second response. A connection is
+        # therefore not reused for `REUSE_DELAY_S` after its response. Trade-off: requests that follow each
+        # other faster than that need a new connection.
         for index in reversed(range(len(self._idle))):
             connection = self._idle[index]
             if now_s - connection.idle_since < REUSE_DELAY_S:
@@ -54,25 +54,25 @@
         return None
 
     def take_longest_idle(self) -> ClientConnection:
-        """Take out the connection that has been idle for longest; IndexError if none is idle."""
+        """Remove and return the connection idle for longest; raises IndexError if none is idle."""
         return self._idle.pop(0)
 
     def add_idle(self, connection: ClientConnection, now_s: float) -> None:
-        """Keep a connection that has become idle now."""
+        """Add a connection that becomes idle now."""
         connection.idle_since = now_s
         self._idle.append(connection)
 
     def close_idle_since(self, limit_s: float) -> None:
-        """Close the connections that became idle before `limit_s`, on the event loop's clock."""
+        """Close the connections idle since before `limit_s`, a time of the event loop's clock."""
         while self._idle and self._idle[0].idle_since < limit_s:
             self._idle.pop(0).abort()
 
     def add_removal_callback(self, callback: Callable[[], None]) -> None:
-        """Have `callback` called when the endpoint is removed; used by attempts that are connecting."""
+        """Register a callback for the endpoint's removal; used by attempts that are connecting."""
         self._removal_callbacks.add(callback)
 
     def discard_removal_callback(self, callback: Callable[[], None]) -> None:
-        """Cancel `add_removal_callback`; no effect without it."""
+        """Unregister a removal callback; no effect if it is not registered."""
         self._removal_callbacks.discard(callback)
 
     def remove(self) -> None:
@@ -86,11 +86,11 @@
 
 
 class ConnectionPool:
-    """Connections to all endpoints, at most `limit` of them; the last one to become idle is reused first.
+    """Connections to all endpoints, at most `limit` in total; the most recently idle one is reused first.
 
     Attributes:
-        limit: connections that may be open or being established.
-        connect_timeout_s: time in which a connection has to be established.
+        limit: the maximum number of connections that are open or being established.
+        connect_timeout_s: the time within which a connection has to be established.
     """
 
     def __init__(self, limit: int, endpoint_idle_timeout_s: float, connect_timeout_s: float) -> None:
@@ -104,28 +104,28 @@
 
     @property
     def size(self) -> int:
-        """Connections that are open or being established."""
+        """The number of connections that are open or being established."""
         return len(self._open) + len(self._connecting)
 
     def add(self, name: str, address: Address, started_ms: float | None = None) -> None:
-        """Add an endpoint; one whose address or start has changed loses its connections."""
-        # Guard: a machine that crashed and restarted resets connections from before its crash, and requests
-        # on them are lost. A changed start therefore drops the connections.
+        """Add an endpoint; if its address or start has changed, first remove its earlier connections."""
+        # After a crash and restart, a machine resets the connections opened before the crash, and requests
+        # sent on them are lost. The idle connections are therefore closed if the start has changed.
         known = self._endpoints.get(name)
         if known is None or (known.address, known.started_ms) != (address, started_ms):
             self.remove(name)
             self._endpoints[name] = EndpointConnections(address, started_ms)
 
     def remove(self, name: str) -> None:
-        """Remove an endpoint: attempts in flight go on, those that are connecting to it are withdrawn."""
-        # Guard: an attempt that is connecting when the drain is notified could send its first byte after the
-        # endpoint's grace period, so it is withdrawn at once.
+        """Remove an endpoint: attempts in flight continue, those still connecting are withdrawn."""
+        # An attempt that is connecting when the proxy is notified of the drain could send its first byte
+        # after the endpoint's grace period. Such attempts are therefore withdrawn at once.
         endpoint = self._endpoints.pop(name, None)
         if endpoint is not None:
             endpoint.remove()
 
     def get(self, name: str) -> EndpointConnections | None:
-        """The connections of this endpoint, None if it is not in the pool."""
+        """The connections to this endpoint, None if it is not in the pool."""
         return self._endpoints.get(name)
 
     def close(self) -> None:
@@ -138,11 +138,11 @@
             self._sweep_timer.cancel()
 
     def acquire_idle(self, endpoint: EndpointConnections) -> ClientConnection | None:
-        """Take a usable idle connection out of the pool; None if there is none."""
+        """Remove and return a usable idle connection; None if there is none."""
         return endpoint.take_idle(asyncio.get_running_loop().time(), self._idle_timeout_s)
 
     def release(self, endpoint: EndpointConnections, connection: ClientConnection) -> None:
-        """Return a connection after its response; it is closed if no other request can use it."""
+        """Return a connection to the pool after its response; close it if it can't be reused."""
         if endpoint.removed or not connection.reusable:
             connection.abort()
             return
@@ -151,7 +151,7 @@
             self._schedule_sweep()
 
     def ensure_capacity(self) -> bool:
-        """Return whether one more connection may be opened; at the limit, close the one idle for longest."""
+        """Whether one more connection may be opened; at the limit, closes the one idle for longest first."""
         if self.size < self.limit:
             return True
         with_idle = [endpoint for endpoint in self._endpoints.values() if endpoint.idle]
@@ -165,8 +165,8 @@
 
     def count_connecting(self, task: asyncio.Task[None]) -> None:
         """Count a task that establishes a connection, until it is done."""
-        # Guard: several attempts of one turn of the event loop would all see the same free capacity if a
-        # connection counted only once established. It counts from the start of the task.
+        # Several attempts in one iteration of the event loop would all use the same free capacity if a
+        # connection counted only once established. It therefore counts from the start of the task.
         self._connecting.add(task)
         task.add_done_callback(self._connecting.discard)
 
