--- a/loadbalancer/proxy/graceful_shutdown.py
+++ b/loadbalancer/proxy/graceful_shutdown.py
@@ -6,36 +6,37 @@
 
 from loadbalancer.proxy.proxy import Proxy
 
-ACCEPT_GRACE_S = 0.6  # from SIGTERM; new connections still arrive for up to 0.4 s after it
+ACCEPT_GRACE_S = 0.6  # after SIGTERM; new connections arrive for up to 0.4 s after it
 MAX_CLIENT_TIMEOUT_S = 3.0  # a cap: the shutdown does not wait for longer client time-outs
 EXIT_MARGIN_S = 0.6  # after the longest client time-out; SIGKILL comes no earlier than 0.7 s after it
-# Before the open requests are ended: no connection is accepted any more, and each response closes its own.
-# Shorter if the grace period ends later.
+# The last phase before the open requests are ended: no connection is accepted, and each response closes its
+# connection. It is shorter if the grace period after SIGTERM ends later than this phase would start.
 CLOSING_PHASE_S = 1.2
-LINGER_S = 0.05  # after the open requests are ended, for clients to read their last responses
+LINGER_S = 0.05  # after the open requests are ended, so that clients can read their last responses
 POLL_INTERVAL_S = 0.01
 
 
 async def shut_down(proxy: Proxy) -> None:
     """Serve requests that still arrive, finish those in flight, and close the proxy in time.
 
-    It ends the requests that are still open after the longest client time-out of the settings, of at most
-    `MAX_CLIENT_TIMEOUT_S`, and `EXIT_MARGIN_S`, and closes all connections `LINGER_S` later. The total is at
-    most 3.65 s plus the delays of the event loop, and less once no client is connected.
+    Requests that are still open after the longest client time-out of the settings, limited to
+    `MAX_CLIENT_TIMEOUT_S`, plus `EXIT_MARGIN_S` are ended; all connections are closed `LINGER_S` later. The
+    shutdown takes at most 3.65 s plus the delays of the event loop, and less if all clients disconnect.
     """
     loop = asyncio.get_running_loop()
     client_timeout_s = min(_longest_client_timeout_s(proxy), MAX_CLIENT_TIMEOUT_S)
     end_at_s = loop.time() + client_timeout_s + EXIT_MARGIN_S
     proxy.begin_shutdown()
-    # Guard: clients go on using their connections, and the other replicas may be restarting as well, so that
-    # closing at once could leave a client without any replica. The proxy first serves on for a grace period.
+    # Clients continue to use their connections, and the other replicas may be restarting as well, so that
+    # closing at once could leave a client without any replica. The proxy therefore continues to serve for a
+    # grace period.
     await asyncio.sleep(ACCEPT_GRACE_S)
     await _wait_for_clients(proxy, end_at_s - CLOSING_PHASE_S)
     proxy.listener.draining = True
     await proxy.listener.stop_listening()
     await _close_idle_connections(proxy, end_at_s)
     proxy.end_requests()
-    # Guard: closing at once would truncate a response that its client has not read yet.
+    # Closing at once would truncate a response that its client has not read yet.
     await _close_idle_connections(proxy, end_at_s + LINGER_S)
     proxy.close()
 
@@ -45,7 +46,7 @@
 
 
 async def _wait_for_clients(proxy: Proxy, until_s: float) -> None:
-    """Wait until no client is connected, at most until `until_s`."""
+    """Wait until no client is connected, or until `until_s` on the event loop's clock."""
     loop = asyncio.get_running_loop()
     while proxy.listener.connections:
         if loop.time() >= until_s:
@@ -54,7 +55,7 @@
 
 
 async def _close_idle_connections(proxy: Proxy, until_s: float) -> None:
-    """Close each connection once it has no open request, until none is left, at most until `until_s`."""
+    """Close each connection once it has no open request; return if none is left, or at `until_s`."""
     loop = asyncio.get_running_loop()
     while loop.time() < until_s and proxy.listener.connections:
         proxy.listener.close_idle_connections()
--- a/loadbalancer/proxy/membership.py
+++ b/loadbalancer/proxy/membership.py
@@ -1,4 +1,4 @@
-"""Membership of the pool: applies endpoint lists to connections, policy and readiness, in that order."""
+"""Pool membership: applies endpoint lists to the pool, the policy and the readiness, in that order."""
 
 from __future__ import annotations
 
@@ -34,15 +34,15 @@
         return self._ready_endpoints
 
     def apply(self, kind: UpdateKind, endpoint_list: EndpointList | None) -> None:
-        """Apply an update of the watch; `endpoint_list` is None if discovery is unavailable."""
+        """Apply an update from the watch; `endpoint_list` is None if discovery is unavailable."""
         self._statistics.endpoint_lists[kind] += 1
         if endpoint_list is None:
             self._notify_policy(MembershipUpdate(kind))
             return
         ready = self._add_ready(endpoint_list)
         self._notify_policy(MembershipUpdate(kind, endpoint_list.endpoints))
-        # The policy is notified before endpoints leave the pool, so that it retries the attempts which their
-        # removal withdraws on endpoints of the new list.
+        # Removing an endpoint withdraws the attempts that are connecting to it. The policy is notified of the
+        # new list first, so that it retries these attempts on endpoints of that list.
         listed = set(endpoint_list.addresses) if kind is UpdateKind.DELTA else self._ready_endpoints
         removed = listed - ready
         for name in removed:
@@ -51,12 +51,12 @@
         self._update_readiness()
 
     def begin_shutdown(self) -> None:
-        """Make the proxy not ready, whatever endpoints there are from now on."""
+        """Make the proxy not ready, independent of later endpoint lists."""
         self._shutting_down = True
         self._update_readiness()
 
     def _add_ready(self, endpoint_list: EndpointList) -> set[str]:
-        """Add the ready endpoints of a list to the pool; returns their names."""
+        """Add the ready endpoints of a list to the pool and return their names."""
         ready = set()
         for endpoint in endpoint_list.endpoints:
             if endpoint.state is EndpointState.READY:
@@ -65,6 +65,6 @@
         return ready
 
     def _update_readiness(self) -> None:
-        """Make the proxy ready once it has had a ready endpoint, until the shutdown begins."""
+        """Make the proxy ready from its first ready endpoint until the shutdown begins."""
         has_had_endpoints = self._listener.ready or bool(self._ready_endpoints)
         self._listener.ready = not self._shutting_down and has_had_endpoints
