--- a/loadbalancer/proxy/pending_request.py
+++ b/loadbalancer/proxy/pending_request.py
@@ -1,4 +1,4 @@
-"""Requests that the policy has been given, each until it has ended and all its attempts have ended."""
+"""Requests that are passed to the policy, each until it and all its attempts have ended."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 from loadbalancer.proxy.statistics import Statistics
 from loadbalancer.proxy.upstream_attempt import UpstreamAttempt
 
-BACKSTOP_DELAY_S = 0.005  # from a request's deadline to the proxy's own final response
+BACKSTOP_DELAY_S = 0.005  # after a request's deadline, until the proxy sends the final response itself
 
 
 class PendingRequest:
     """A request, its client and its attempts.
 
     Attributes:
-        incoming: the request as the policy knows it.
-        http_request: the request as received; takes the final response.
-        deadline_s: the time by which the final response has to leave, on the event loop's clock.
+        incoming: the event that passes the request to the policy.
+        http_request: the HTTP request, through which the final response is sent.
+        deadline_s: the time by which the final response has to be sent, on the event loop's clock.
         backstop: the timer that ends the request if the policy has not done so by its deadline.
-        ended: whether it has its final response or its client has disconnected.
-        attempts: by number; None for one that has ended or was not sent.
-        attempts_in_flight: number of attempts that have been started and have not ended.
-        last_result: of the attempt that ended last.
+        ended: whether the final response has been sent or the client has disconnected.
+        attempts: the attempts by number; None for one that has ended or that is not sent.
+        attempts_in_flight: the number of attempts that have been started and have not ended.
+        last_result: the result of the attempt that ended last, None before the first.
     """
 
     __slots__ = (
@@ -62,14 +62,14 @@
                 attempt.cancel()
 
     def cancel_unsent_attempts(self) -> None:
-        """Cancel the attempts that have not been sent; harmless even where the site forbids cancels."""
+        """Cancel the attempts that have not been sent; allowed even if the settings forbid cancellation."""
         for attempt in self.attempts:
             if attempt is not None and not attempt.sent:
                 attempt.cancel()
 
 
 class PendingRequests:
-    """All pending requests; sends each its one final response."""
+    """All pending requests; sends the one final response of each."""
 
     def __init__(self, statistics: Statistics, notify_policy: Callable[[Event], None]) -> None:
         self._by_id: dict[str, PendingRequest] = {}
@@ -80,12 +80,12 @@
 
     @property
     def by_id(self) -> Mapping[str, PendingRequest]:
-        """Each request until it and all its attempts have ended."""
+        """The pending requests by their id."""
         return self._by_id
 
     @property
     def open_count(self) -> int:
-        """Number of requests that have not ended."""
+        """The number of requests that have not ended."""
         return self._open_count
 
     def get(self, request_id: str) -> PendingRequest | None:
@@ -104,20 +104,20 @@
     def respond(
         self, pending: PendingRequest, status: int, body: bytes = b"", retry_after_ms: float = 0.0
     ) -> None:
-        """Send a request its final response; no effect for one that has ended."""
+        """Send the final response of a request; no effect if the request has ended."""
         if not pending.ended:
             self._statistics.responses[status] += 1
             self._end(pending)
             pending.http_request.respond(status, body, retry_after_ms)
 
     def reject(self, request_id: str, retry_after_ms: float) -> None:
-        """Send the final response that says that a retry is harmless, if the request is open."""
+        """Reject a request with 503, if it is open; the status states that a retry is harmless."""
         pending = self._by_id.get(request_id)
         if pending is not None:
             self.respond(pending, HTTPStatus.SERVICE_UNAVAILABLE, retry_after_ms=retry_after_ms)
 
     def fail(self, request_id: str) -> None:
-        """Send the final response of a request that may have been executed, if the request is open."""
+        """Fail a request that may have been executed, if it is open: 504 after a time-out, else 502."""
         pending = self._by_id.get(request_id)
         if pending is not None:
             timed_out = pending.last_result is AttemptResult.TIMEOUT
@@ -130,13 +130,13 @@
             pending.cancel_attempt(number)
 
     def client_waits(self, pending: PendingRequest) -> bool:
-        """Whether the client still waits; ends the request if it has disconnected.
+        """Whether the client still waits for the response; ends the request if it has disconnected.
 
         Called right before an attempt is sent.
         """
-        # Guard: the end of a client's connection can lie unread in the kernel, behind other sockets or behind
-        # the request itself, while the request is forwarded; a late event loop makes it likely. The socket is
-        # therefore examined here. Trade-off: one system call per attempt.
+        # While a request is forwarded, the end of its client's connection can be unread in the kernel,
+        # because the event loop handles other sockets or the request itself first. A late event loop makes
+        # this likely. The socket is therefore examined here. Trade-off: one system call per attempt.
         if not pending.ended and pending.http_request.client_disconnected:
             self._statistics.unread_client_disconnects += 1
             self._on_disconnect(pending)
@@ -155,13 +155,13 @@
             self.respond(pending, HTTPStatus.GATEWAY_TIMEOUT)
 
     def _end(self, pending: PendingRequest) -> None:
-        """Mark a request as ended and release what it no longer needs."""
+        """Mark a request as ended; cancel its backstop and its unsent attempts."""
         pending.ended = True
         self._open_count -= 1
         if pending.backstop is not None:
             pending.backstop.cancel()
-        # Guard: where the site forbids cancels the policy returns none, and an attempt that waits for its
-        # connection would be sent after its client has disconnected. Such an attempt is cancelled here.
+        # If the settings forbid cancellation, the policy returns no `Cancel`, and an attempt that waits for
+        # its connection would be sent after its client has disconnected. Such an attempt is cancelled here.
         pending.cancel_unsent_attempts()
         self.remove_if_complete(pending)
 
@@ -172,8 +172,8 @@
             self._notify_policy(ClientDisconnected(pending.incoming.request_id))
 
     def _on_missed_deadline(self, pending: PendingRequest) -> None:
-        # Guard: if the policy leaves a request open past its deadline, the client would wait in vain. The
-        # proxy sends the final response itself.
+        # If the policy has not ended a request by its deadline, its client would time out without a response.
+        # The proxy therefore sends the final response itself.
         if not pending.ended:
             self._statistics.missed_deadlines += 1
             self.respond(pending, HTTPStatus.GATEWAY_TIMEOUT)
