--- a/loadbalancer/proxy/__init__.py
+++ b/loadbalancer/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The proxy: runs the policy between clients' and endpoints' connections."""
+"""The proxy: forwards clients' requests to endpoints as the policy decides."""
--- a/loadbalancer/proxy/clock.py
+++ b/loadbalancer/proxy/clock.py
@@ -1,4 +1,4 @@
-"""The clock from which the policy's time is taken."""
+"""The policy's clock."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Clock:
-    """Unix time in milliseconds that never goes back: the event loop's clock, anchored to Unix time once."""
+    """Monotonic Unix time in milliseconds: the event loop's clock plus an offset fixed at creation."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop_time = loop.time
--- a/loadbalancer/proxy/policy_runner.py
+++ b/loadbalancer/proxy/policy_runner.py
@@ -1,4 +1,4 @@
-"""Runs the policy: gives it one event at a time, carries out its actions and runs its timers."""
+"""Runs the policy: passes it one event at a time, executes its actions and runs its timers."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 
 logger = logging.getLogger(__name__)
 
-FAULT_RETRY_DELAY_S = 0.5  # before a timer or a watch that was lost to a policy fault is started again
+FAULT_RETRY_DELAY_S = 0.5  # before restarting a timer or a watch after a policy fault
 
 
 class PolicyRunner:
-    """Connects the policy with the requests, the endpoints and the watch of one proxy.
+    """Connects the policy to the requests, the endpoints and the watch of one proxy.
 
     Attributes:
         policy: decides on every event.
@@ -59,7 +59,7 @@
         self._timers: dict[str, asyncio.TimerHandle] = {}
 
     def notify(self, event: Event) -> None:
-        """Give the policy an event and carry out its actions; events caused by these actions are queued."""
+        """Pass an event to the policy and execute its actions; events that these cause are queued."""
         self._events.append(event)
         if self._handling_events:
             return
@@ -73,7 +73,7 @@
             self._handling_events = False
 
     def execute(self, action: Action) -> None:
-        """Carry out one action."""
+        """Execute one action."""
         match action:
             case Send():
                 self._forwarder.send(action)
@@ -89,7 +89,7 @@
                 self._start_watch()
 
     def cancel_timer(self, name: str) -> None:
-        """Cancel the policy's timer of this name, if there is one."""
+        """Cancel the policy's timer of this name, if it is running."""
         timer = self._timers.pop(name, None)
         if timer is not None:
             timer.cancel()
@@ -103,15 +103,15 @@
         try:
             return self.policy.handle(self._clock.now_ms(), event)
         except Exception:
-            # Guard: an exception of the policy would leave clients without a final response and stop the
-            # policy's timers. The runner completes the event itself and goes on with the next one.
+            # An exception of the policy would leave clients without a final response and stop the policy's
+            # timers. The runner therefore handles the event itself and continues with the next one.
             logger.exception("policy fault event=%s", type(event).__name__)
             self._statistics.policy_faults += 1
             self._recover(event)
             return []
 
     def _recover(self, event: Event) -> None:
-        """Complete an event on which the policy raised an exception."""
+        """Handle an event in place of the policy after its exception."""
         match event:
             case IncomingRequest() | AttemptOutcome():
                 self._fail_without_attempts(event.request_id)
@@ -121,7 +121,7 @@
                 self._loop.call_later(FAULT_RETRY_DELAY_S, self._start_watch)
 
     def _fail_without_attempts(self, request_id: str) -> None:
-        """Fail an open request that has no attempt in flight, as no further event would end it."""
+        """Fail an open request that has no attempt in flight, since no further event would end it."""
         pending = self.requests.get(request_id)
         if pending is None or pending.ended or pending.attempts_in_flight:
             return
--- a/loadbalancer/proxy/proxy.py
+++ b/loadbalancer/proxy/proxy.py
@@ -1,4 +1,4 @@
-"""The proxy: puts the parts of one node together; start, reload and shutdown."""
+"""The proxy: creates and connects the components of one proxy; start, reload and shutdown."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
     Attributes:
         loop: the event loop that the proxy runs on.
         clock: Unix time on that event loop.
-        config: what it was started with, and the present address of discovery.
-        settings: of the policy.
-        statistics: counters since the last statistics line in the log.
-        pool: connections to the endpoints.
-        watch_client: follows the endpoint list.
-        policy_runner: gives the policy its events and carries out its actions.
+        config: the configuration at the start, with the current address of discovery.
+        settings: the policy's settings.
+        statistics: the counters since the last statistics line in the log.
+        pool: the connections to the endpoints.
+        watch_client: watches the endpoint list.
+        policy_runner: passes events to the policy and executes its actions.
         requests: the pending requests.
         listener: accepts clients' connections.
         membership: applies endpoint lists.
@@ -79,7 +79,7 @@
         self.policy_runner.policy = policy
 
     async def start(self) -> None:
-        """Apply the known endpoints and begin to serve.
+        """Apply the configured endpoint list and begin to serve.
 
         Raises:
             OSError: the configured address can't be bound.
@@ -91,27 +91,28 @@
         self._statistics_log.start()
 
     def reconfigure(self, config: Config) -> None:
-        """Apply a new address of discovery; log a warning if anything else has changed."""
+        """Apply a new address of discovery; log a warning if the configuration has other changes."""
         self.config = replace(self.config, discovery=config.discovery)
-        # Guard: a backoff timer from before the change of address can fire during the first watch request
-        # after it, and the policy would count that request as started at that moment. It is cancelled.
+        # A backoff timer that is started before the change of address can fire during the first watch
+        # request after it, and the policy would take that moment for the start of the request. The timer is
+        # therefore cancelled.
         self.policy_runner.cancel_timer(WATCH_TIMER)
         self.watch_client.reconnect_to(config.discovery)
         logger.info("discovery address set name=%s address=%s:%d", self.config.name, *config.discovery)
-        # The endpoint list and the seed differ in every file and matter only at a start.
+        # The endpoint list and the seed differ in every file and are used only at the start.
         comparable = replace(config, known_endpoints=self.config.known_endpoints, seed=self.config.seed)
         if comparable != self.config:
             logger.warning("configuration changes wait for the next start name=%s", self.config.name)
 
     def begin_shutdown(self) -> None:
-        """Answer readiness checks with 503; requests are still served."""
+        """Respond to readiness checks with 503; requests are still served."""
         self.membership.begin_shutdown()
 
     def end_requests(self) -> None:
-        """Send a final response to each open request, and start no more attempts."""
-        # Guard: at the end of a shutdown all requests in flight would fail, though a retry of most of them is
-        # harmless, and a request read in the last turn of the event loop would get no response. The policy
-        # therefore chooses each final response.
+        """Send the final response of each open request, and start no more attempts."""
+        # Without this event, all requests in flight at the end of a shutdown would fail, although a retry of
+        # most of them is harmless, and a request read in the last iteration of the event loop would get no
+        # response. The policy therefore chooses each final response.
         self.policy_runner.notify(ShutdownStarted())
         self.requests.end_all()
 
@@ -137,7 +138,8 @@
 
 def _watch_options(config: Config) -> WatchOptions:
     """The options of the watch of the endpoint list."""
-    # Guard: a proxy counts as notified some time after its last poll, even if discovery has become silent.
-    # A watch request ends well before that, so that the silence is noticed in time.
+    # A proxy counts as notified of every change `discovery_poll_deadline_ms` after its last poll, even if
+    # discovery no longer responds. A watch request ends well before that, so that the proxy detects the
+    # failure in time.
     wait_ms = min(WATCH_WAIT_MS, config.discovery_poll_deadline_ms * WATCH_WAIT_FRACTION)
     return WatchOptions(wait_ms, retries_forever=not config.settings.polls_discovery)
