--- a/loadbalancer/proxy/request_forwarding.py
+++ b/loadbalancer/proxy/request_forwarding.py
@@ -1,4 +1,4 @@
-"""Forwarding of requests: carries out `Send` actions and notifies the policy of their outcomes."""
+"""Request forwarding: executes `Send` actions and notifies the policy of their outcomes."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 from loadbalancer.settings import Settings
 
 LOAD_REPORT_HEADER = b"srv-load"
-FORWARDED_HEADERS = frozenset(  # each is one of `SINGLE_VALUE_HEADERS`, whose guard says why
+FORWARDED_HEADERS = frozenset(  # a subset of `SINGLE_VALUE_HEADERS`, where the comment gives the reason
     b"host req-id idempotency-key req-owner req-retry req-cost req-extra".split()
     + b"accept content-type content-encoding".split()
 )
 
 
 class ForwardedAttempt:
-    """An attempt that the policy asked for, as the `UpstreamRequest` of its `UpstreamAttempt`.
+    """An attempt that the policy requests; the `UpstreamRequest` of its `UpstreamAttempt`.
 
     Attributes:
         action: the policy's action.
-        pending: the request.
-        number: of the attempt, among those of its request.
-        created_at_s: when the action was carried out, on the event loop's clock.
+        pending: the request that the attempt belongs to.
+        number: the number of the attempt, from 0 for each request.
+        created_at_s: the time of the action, on the event loop's clock.
     """
 
     __slots__ = ("_forwarder", "action", "created_at_s", "number", "pending")
@@ -51,11 +51,11 @@
         self.created_at_s = created_at_s
 
     def encode(self, remaining_s: float) -> bytes:
-        """The client's request with the remaining time as its deadline."""
+        """The bytes of the client's request, with the remaining time as its deadline."""
         return encode_request(self.pending.http_request, remaining_s)
 
     def is_needed(self) -> bool:
-        """Whether the client still waits."""
+        """Whether the client still waits for the response."""
         return self._forwarder.requests.client_waits(self.pending)
 
     def on_result(self, result: AttemptResult, response: HttpResponse | None) -> None:
@@ -88,7 +88,7 @@
         self._loop = asyncio.get_running_loop()
 
     def send(self, action: Send) -> None:
-        """Start an attempt. Each `Send` has a number and one outcome, even if nothing is sent."""
+        """Start an attempt. Each `Send` gets an attempt number and one outcome, even if nothing is sent."""
         pending = self.requests.get(action.request_id)
         if pending is None:
             self._report_not_pending(action)
@@ -123,7 +123,7 @@
         self._notify_policy(outcome)
 
     def _may_send(self, attempt: ForwardedAttempt) -> bool:
-        """Whether time, the attempt limit and the client allow this attempt."""
+        """Whether the deadline, the attempt limit and the client's connection allow this attempt."""
         pending = attempt.pending
         return (
             not pending.ended
@@ -133,7 +133,7 @@
         )
 
     def _start(self, attempt: ForwardedAttempt) -> None:
-        """Start an attempt, which fails at once if its endpoint has been removed."""
+        """Start an attempt; it fails at once if its endpoint is not in the pool."""
         action, pending = attempt.action, attempt.pending
         pending.attempts_in_flight += 1
         endpoint = self._pool.get(action.endpoint)
@@ -151,21 +151,21 @@
         upstream_attempt.start(endpoint)
 
     def _load_report(self, response: HttpResponse) -> LoadReport | None:
-        """The load that the endpoint reports with its response, None without a report."""
+        """The load report of a response, None if it has none."""
         value = response.headers.get(LOAD_REPORT_HEADER)
         if not value:
             return None
         return parse_load_report(value.decode("latin-1"), self._settings.load_report_fields)
 
     def _report_not_pending(self, action: Send) -> None:
-        """Notify the policy that nothing was sent, as the request and all its attempts have ended."""
+        """Notify the policy that nothing is sent, since the request and all its attempts have ended."""
         result = AttemptResult.NOT_SENT
         self._statistics.attempts[result.value] += 1
         self._notify_policy(AttemptOutcome(action.request_id, 0, action.endpoint, result, 0.0, done=True))
 
 
 def encode_request(http_request: HttpRequest, remaining_s: float) -> bytes:
-    """The request's bytes for an endpoint, whose response is waited for `remaining_s` seconds."""
+    """Encode a request for an endpoint; `remaining_s` is the time that is left for the response."""
     lines = [http_request.method + b" " + http_request.target + b" HTTP/1.1"]
     lines += [
         name + b": " + value for name, value in http_request.headers.items() if name in FORWARDED_HEADERS
--- a/loadbalancer/proxy/upstream_attempt.py
+++ b/loadbalancer/proxy/upstream_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt to get a response from one endpoint, which ends with exactly one result."""
+"""One attempt: a request sent to one endpoint. Each attempt ends with exactly one result."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def attempt_result(response: HttpResponse) -> AttemptResult:
-    """The result of an attempt that got this complete response."""
+    """The result of an attempt whose complete response this is."""
     if response.status == HTTPStatus.OK:
         return AttemptResult.OK
     if response.status in DECLINED_STATUSES and response.headers.get(DECLINED_HEADER) == DECLINED:
@@ -26,10 +26,10 @@
 
 
 class UpstreamRequest(Protocol):
-    """What an attempt sends, and the receiver of its result; implemented by the owner of the attempt."""
+    """The request of an attempt, and the receiver of its result; implemented by the attempt's owner."""
 
     def encode(self, remaining_s: float) -> bytes:
-        """The request's bytes; the response is waited for `remaining_s` seconds."""
+        """The request's bytes; `remaining_s` is the time that is left for the response."""
 
     def is_needed(self) -> bool:
         """Whether the request still has to be sent; called once a new connection is established."""
@@ -62,7 +62,7 @@
 
     @property
     def sent(self) -> bool:
-        """Whether the request's last byte has left, after which the endpoint may execute the request."""
+        """Whether the request's last byte has left the process, so that the endpoint may execute it."""
         return self._connection is not None and self._connection.request_written
 
     def start(self, endpoint: EndpointConnections) -> None:
@@ -76,11 +76,11 @@
             self._connecting = asyncio.create_task(self._connect(endpoint))
             self._pool.count_connecting(self._connecting)
         else:
-            # Like every result, this one comes after the action that started the attempt.
+            # Deferred, because `on_result` must not be called before `start` has returned.
             asyncio.get_running_loop().call_soon(self.withdraw)
 
     def cancel(self) -> None:
-        """End the attempt; a request of which not every byte has left is never executed."""
+        """End the attempt; the endpoint never executes a request that is not completely sent."""
         self._end(AttemptResult.CANCELLED if self.sent else AttemptResult.NOT_SENT)
 
     def withdraw(self) -> None:
@@ -110,8 +110,9 @@
             return
         self._connecting = None
         endpoint.discard_removal_callback(self.withdraw)
-        # Guard: a client can disconnect during the turns of the event loop in which the connection is
-        # established, and a late loop would forward its request. The client is therefore examined again.
+        # A client can disconnect during the iterations of the event loop in which the connection is
+        # established, and a late event loop would still forward its request. The client's connection is
+        # therefore examined again.
         if self._ended or not self._request.is_needed():
             connection.abort()
             self.cancel()
@@ -124,7 +125,7 @@
         connection.send_request(self._request.encode(remaining_s), self)
 
     def _on_timeout(self) -> None:
-        # A request of which not every byte has left is never executed, so that a retry is harmless.
+        # The endpoint never executes a request that is not completely sent, so that a retry is harmless.
         self._end(AttemptResult.TIMEOUT if self.sent else AttemptResult.CONNECT_FAILED)
 
     def _end(self, result: AttemptResult, response: HttpResponse | None = None) -> None:
@@ -135,6 +136,6 @@
         if self._connecting is not None and self._endpoint is not None:
             self._endpoint.discard_removal_callback(self.withdraw)
             self._connecting.cancel()
-        if self._connection is not None:  # closing the connection is how an attempt is cancelled
+        if self._connection is not None:  # closing the connection cancels the attempt
             self._connection.abort()
         self._request.on_result(result, response)
