--- a/loadbalancer/proxy/statistics.py
+++ b/loadbalancer/proxy/statistics.py
@@ -17,20 +17,20 @@
 
 
 class Statistics:
-    """Counts of events since the last statistics line in the log.
+    """Counters since the last statistics line in the log.
 
     Attributes:
-        requests_received: complete requests, including those that never reach the policy.
+        requests_received: complete requests, including those that are not passed to the policy.
         requests_over_limit: requests that get 503 because too many requests or connections are open.
-        bad_requests: requests that are refused as malformed, by status.
-        responses: final responses to requests that the policy was given, by status.
+        bad_requests: requests that are refused as invalid, by status.
+        responses: final responses to requests that are passed to the policy, by status.
         attempts: ended attempts, by the value of their result.
-        client_disconnects: requests whose client disconnected before the final response.
-        unread_client_disconnects: those of them found only when an attempt was about to be sent.
-        missed_deadlines: requests that the policy left open and that the proxy ended itself.
-        policy_faults: events on which the policy raised an exception.
-        endpoint_lists: updates of the watch, by kind.
-        event_loop_lag_s: the longest delay of the event loop.
+        client_disconnects: requests whose client disconnects before the final response.
+        unread_client_disconnects: those of them that are detected only right before an attempt is sent.
+        missed_deadlines: requests that the proxy ends itself because the policy has not done so in time.
+        policy_faults: events on which the policy raises an exception.
+        endpoint_lists: updates from the watch, by kind.
+        event_loop_lag_s: the longest delay of a timer by the event loop.
     """
 
     __slots__ = (
@@ -65,7 +65,7 @@
         self.event_loop_lag_s = 0.0
 
     def fields(self) -> dict[str, int]:
-        """Each counter by its name in the log; those by status, result or kind only where not zero."""
+        """Each counter by its name in the log; those by status, result or kind only if not zero."""
         return {
             "requests_received": self.requests_received,
             "requests_over_limit": self.requests_over_limit,
@@ -82,7 +82,7 @@
 
 
 class Gauges(NamedTuple):
-    """Values of the moment.
+    """Current values, read when a statistics line is logged.
 
     Attributes:
         open_requests: requests without a final response.
@@ -107,7 +107,7 @@
 
 
 class StatisticsLog:
-    """Logs the counters, and the gauges of that moment, every `LOG_INTERVAL_S`; then resets the counters."""
+    """Logs the counters and the gauges every `LOG_INTERVAL_S`, and then resets the counters."""
 
     def __init__(self, name: str, statistics: Statistics, gauges: Callable[[], Gauges]) -> None:
         self._name = name
@@ -118,7 +118,7 @@
         self._log_timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Log the first line now."""
+        """Log the first line now, and start the timers."""
         self._check_lag(self._loop.time())
         self._log_statistics()
 
