--- a/loadbalancer/proxy/connection_pool.py
+++ b/loadbalancer/proxy/connection_pool.py
@@ -8,7 +8,7 @@
 from loadbalancer.http.addresses import Address
 from loadbalancer.http.client_connection import ClientConnection
 
-# Of the time after which an endpoint closes an idle connection, so that the pool closes it well before that.
+# Fraction of the time after which an endpoint closes an idle connection; the pool closes it well before then.
 IDLE_TIMEOUT_FRACTION = 0.5
 REUSE_DELAY_S = 0.01  # after a response; a faulty endpoint may send a second one within this time
 SWEEPS_PER_IDLE_TIMEOUT = 4
