--- a/loadbalancer/proxy/request_intake.py
+++ b/loadbalancer/proxy/request_intake.py
@@ -1,4 +1,4 @@
-"""Request intake: adds each complete request to the pending requests, or refuses it."""
+"""Intake of clients' requests: each complete request is added to the pending ones or refused."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class RequestIntake:
-    """Owns the listener; validates each request and checks the limits before the policy is notified of it.
+    """Owns the listener and decides, before the policy does, whether a request can be handled at all.
 
     Attributes:
         listener: accepts clients' connections.
@@ -40,18 +40,18 @@
             http_request.respond(error.status)
             return
         if not self._has_capacity():
-            # Nothing of the request has been forwarded, so that a retry is harmless: the request is rejected.
+            # Nothing of the request has been forwarded, so that a retry is harmless: a rejection.
             self._statistics.requests_over_limit += 1
             http_request.respond(HTTPStatus.SERVICE_UNAVAILABLE)
             return
         self._requests.add(pending)
 
     def _has_capacity(self) -> bool:
-        """Whether one more request may be open; may evict an idle connection to stay within the limit."""
-        # While a replica restarts, many connections idle for a short time can use up the connection limit,
-        # and requests are rejected although few are open. A complete request therefore evicts the connection
-        # that has been idle for longest, without the grace period that applies when a new connection is
-        # accepted. Trade-off: the evicted client has to connect again, which can be expensive.
+        """Whether one more request may be open; may evict an idle connection to make room."""
+        # Guard: while a replica restarts, many connections idle for a short time can use up the connection
+        # limit, and requests are rejected although few are open. A complete request therefore evicts the
+        # connection that has been idle for longest, without the grace period that a new connection observes.
+        # Trade-off: where connecting is expensive, the evicted client pays for it.
         return self._requests.open_count < self._max_open_requests and self.listener.ensure_capacity(
             grace_s=0.0
         )
--- a/loadbalancer/proxy/request_parsing.py
+++ b/loadbalancer/proxy/request_parsing.py
@@ -12,8 +12,8 @@
 from loadbalancer.proxy.pending_request import PendingRequest
 from loadbalancer.settings import Idempotency, ServiceClass
 
-RESPONSE_MARGIN_S = 0.015  # between the final response and the end of the client's time-out
-MAX_TIMEOUT_FACTOR = 10.0  # the longest requested time-out, as a multiple of that of the service class
+RESPONSE_MARGIN_S = 0.015  # from the final response to the client's deadline
+MAX_TIMEOUT_FACTOR = 10.0  # longest time-out that a client may request, in time-outs of its service class
 US_PER_MS = 1000.0
 
 DEADLINE_HEADER = b"req-deadline-ms"
@@ -29,15 +29,15 @@
 
 
 class BadRequestError(Exception):
-    """A request that can't be served and is not passed to the policy; the text is `field: problem`.
+    """A request that can't be served and that the policy is not given.
 
     Attributes:
-        status: the status of the final response.
+        status: of the final response.
         field: the part of the request at fault: `path`, `method`, `body` or a header's name.
     """
 
-    def __init__(self, status: HTTPStatus, field: str, problem: str) -> None:
-        super().__init__(f"{field}: {problem}")
+    def __init__(self, status: HTTPStatus, field: str) -> None:
+        super().__init__(status, field)
         self.status = status
         self.field = field
 
@@ -51,15 +51,14 @@
     """Validate and convert a complete request.
 
     Raises:
-        BadRequestError: the request names no service class, uses the wrong method, has an invalid header or
-            an unexpected body, or has the id of a request that is still pending.
+        BadRequestError: the request names no service class, uses the wrong method or has an invalid header.
     """
     headers = http_request.headers
     service_class = _service_class(http_request, service_classes)
     request_id = _request_id(headers)
     _check_idempotency(http_request, service_class)
     if request_id in open_request_ids:
-        raise BadRequestError(HTTPStatus.BAD_REQUEST, "req-id", f"request id {request_id!r} is in use")
+        raise BadRequestError(HTTPStatus.BAD_REQUEST, "req-id")
     deadline_s = _deadline_s(http_request, service_class)
     tenant = headers.get(TENANT_HEADER)
     incoming = IncomingRequest(
@@ -78,54 +77,36 @@
     segments = http_request.target.partition(b"?")[0].split(b"/")
     name = segments[1] if len(segments) > 1 else b""
     if b"%" in name:
-        from urllib.parse import unquote_to_bytes  # rarely needed, and it would slow down each start
+        from urllib.parse import unquote_to_bytes  # seldom needed, and expensive at a start
 
         name = unquote_to_bytes(name)
     service_class = service_classes.get(name.decode("utf-8", "replace"))
     if service_class is None:
-        raise BadRequestError(
-            HTTPStatus.NOT_FOUND, "path", f"{http_request.target!r} does not begin with a service class"
-        )
+        raise BadRequestError(HTTPStatus.NOT_FOUND, "path")
     if http_request.method != (b"GET" if service_class.idempotency is Idempotency.IDEMPOTENT else b"POST"):
-        raise BadRequestError(
-            HTTPStatus.METHOD_NOT_ALLOWED,
-            "method",
-            f"expected GET for an idempotent service class, else POST, got {http_request.method!r}",
-        )
+        raise BadRequestError(HTTPStatus.METHOD_NOT_ALLOWED, "method")
     return service_class
 
 
 def _request_id(headers: dict[bytes, bytes]) -> str:
-    """The validated id of the request."""
+    """The request's id."""
     request_id = headers.get(ID_HEADER, b"").decode("latin-1")
     if not REQUEST_ID.fullmatch(request_id):
-        raise BadRequestError(
-            HTTPStatus.BAD_REQUEST,
-            "req-id",
-            f"expected 1 to 128 visible ASCII characters, got {request_id!r}",
-        )
+        raise BadRequestError(HTTPStatus.BAD_REQUEST, "req-id")
     return request_id
 
 
 def _check_idempotency(http_request: HttpRequest, service_class: ServiceClass) -> None:
-    """Check that a keyed request has its idempotency key, and that an idempotent one has no body."""
+    """Check that a keyed request has its key, and that an idempotent one has no body."""
     idempotency = service_class.idempotency
     if idempotency is Idempotency.KEYED and IDEMPOTENCY_KEY_HEADER not in http_request.headers:
-        raise BadRequestError(
-            HTTPStatus.BAD_REQUEST,
-            "idempotency-key",
-            f"service class {service_class.name!r} requires this header",
-        )
+        raise BadRequestError(HTTPStatus.BAD_REQUEST, "idempotency-key")
     if idempotency is Idempotency.IDEMPOTENT and http_request.body:
-        raise BadRequestError(
-            HTTPStatus.BAD_REQUEST,
-            "body",
-            f"expected none for an idempotent service class, got {len(http_request.body)} bytes",
-        )
+        raise BadRequestError(HTTPStatus.BAD_REQUEST, "body")
 
 
 def _deadline_s(http_request: HttpRequest, service_class: ServiceClass) -> float:
-    """The time by which the final response has to be sent, on the event loop's clock."""
+    """The time by which the final response has to leave, on the event loop's clock."""
     client_timeout_ms = service_class.client_timeout_ms
     if DEADLINE_HEADER in http_request.headers:
         longest_ms = MAX_TIMEOUT_FACTOR * client_timeout_ms
@@ -134,7 +115,7 @@
 
 
 def _cost_hint_ms(headers: dict[bytes, bytes]) -> float | None:
-    """The request's cost as the client estimates it, None if the client sends no estimate."""
+    """The cost that the client expects, None without a hint."""
     if COST_HEADER not in headers:
         return None
     return _number(headers, COST_HEADER, DECIMAL_NUMBER) / US_PER_MS
@@ -143,11 +124,7 @@
 def _number(headers: dict[bytes, bytes], name: bytes, form: re.Pattern[str]) -> float:
     """The value of a numeric header that is present."""
     text = headers[name].decode("latin-1")
-    # float() also accepts blanks, underscores, signs and words such as "inf"; the pattern does not.
+    # Guard: float() also accepts blanks, underscores, signs and words such as "inf"; the pattern does not.
     if not form.fullmatch(text):
-        raise BadRequestError(
-            HTTPStatus.BAD_REQUEST,
-            name.decode(),
-            f"expected a number of the form {form.pattern}, got {text!r}",
-        )
+        raise BadRequestError(HTTPStatus.BAD_REQUEST, name.decode())
     return float(text)
