--- a/benchmarks/fleet_model.py
+++ b/benchmarks/fleet_model.py
@@ -129,7 +129,7 @@
         print_chance_table()
         return
     if options.unpaced:
-        SlowStart.admits = lambda *_: True  # type: ignore[method-assign]
+        SlowStart.is_eligible = lambda *_: True  # type: ignore[method-assign]
     print_scenario_table(options)
 
 
--- a/loadbalancer/policy/selection.py
+++ b/loadbalancer/policy/selection.py
@@ -57,10 +57,10 @@
             # the sample.
             sampled = list(dict.fromkeys(self._random.choices(candidates, capacities, k=SAMPLED_ENDPOINTS)))
             sampled_capacity = sum(capacities)
-        admitted = self._slow_start.draw_admitted(now_ms, sampled, sampled_capacity, weight)
-        if not admitted:
-            admitted = [item for item in candidates if self._slow_start.is_warmed_up(now_ms, item)]
-        return min(admitted, key=lambda endpoint: self._rank(now_ms, endpoint, service_class), default=None)
+        eligible = self._slow_start.draw_eligible(now_ms, sampled, sampled_capacity, weight)
+        if not eligible:
+            eligible = [item for item in candidates if self._slow_start.is_warmed_up(now_ms, item)]
+        return min(eligible, key=lambda endpoint: self._rank(now_ms, endpoint, service_class), default=None)
 
     def learn_queues(self, now_ms: float, reporting: list[TrackedEndpoint]) -> None:
         """Assume the mean queue of the endpoints that have reported lately at the others, by capacity."""
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -49,7 +49,7 @@
             self._initial_fraction + self._ramp_fraction * age_ms / self._ramp_ms
         )
 
-    def draw_admitted(
+    def draw_eligible(
         self,
         now_ms: float,
         sampled: list[TrackedEndpoint],
@@ -76,10 +76,10 @@
         else:
             # An attempt over the usual rate sees a larger pool, so that its chance is lower.
             pool_capacity = min_capacity * weight / max(self._take_tokens(now_ms, weight), MIN_USED_TOKENS)
-        admits = self.admits
-        return [item for item in sampled if admits(now_ms, item, sampled_capacity, pool_capacity)]
+        is_eligible = self.is_eligible
+        return [item for item in sampled if is_eligible(now_ms, item, sampled_capacity, pool_capacity)]
 
-    def admits(
+    def is_eligible(
         self, now_ms: float, endpoint: TrackedEndpoint, sampled_capacity: float, pool_capacity: float
     ) -> bool:
         """Whether a sampled endpoint may get the attempt; a random draw if it is warming up.
--- a/tests/benchmarks/test_slow_start.py
+++ b/tests/benchmarks/test_slow_start.py
@@ -51,7 +51,7 @@
 
 def test_warming_backends_go_over_their_budget_without_pacing(monkeypatch):
     """The count can fail: with every draw let through, windows go over by number and by work."""
-    monkeypatch.setattr(SlowStart, "admits", lambda *_: True)
+    monkeypatch.setattr(SlowStart, "is_eligible", lambda *_: True)
     metrics = run(200, "all")
     assert metrics.over_by_requests > 0
     assert 1000.0 * metrics.over_by_work / metrics.windows > 3.0 * OVER_BY_CHANCE_PER_MILLE
