--- a/benchmarks/call_profile/stages.py
+++ b/benchmarks/call_profile/stages.py
@@ -69,11 +69,11 @@
         "": "policy: rest",
     },
     "loadbalancer/policy/selection.py": {
-        "learn_queues": "policy: period",
+        "update_assumed_queue": "policy: period",
         "": "policy: selection",
     },
     "loadbalancer/policy/slow_start.py": {
-        "learn_usual_rate": "policy: period",
+        "update_usual_rate": "policy: period",
         "": "policy: selection",
     },
     "loadbalancer/policy/discovery_backoff.py": {"": "policy: rest"},
--- a/loadbalancer/policy/latency_baseline.py
+++ b/loadbalancer/policy/latency_baseline.py
@@ -78,7 +78,7 @@
         """Add the latency fraction of an attempt to the current period."""
         self._period_fractions.append(fraction)
 
-    def learn(self, cursor_position: int) -> None:
+    def update(self, cursor_position: int) -> None:
         """Update the smoothed fraction and the baseline from the current period."""
         fractions = self._period_fractions
         if not fractions:
--- a/loadbalancer/policy/policy.py
+++ b/loadbalancer/policy/policy.py
@@ -152,10 +152,10 @@
         """Learn from the period that ends, and move the cursor by its load."""
         self.endpoints.expire_abandoned(now_ms)
         reporting = self.endpoints.reporting(now_ms)
-        self.selector.learn_queues(now_ms, reporting)
-        self.latency.learn(self.admission.cursor)
+        self.selector.update_assumed_queue(now_ms, reporting)
+        self.latency.update(self.admission.cursor)
         self.admission.move_cursor(self.load_estimator.estimate(reporting))
-        self.slow_start.learn_usual_rate(now_ms, self.completion_rate.period_weight, self.period_ms)
+        self.slow_start.update_usual_rate(now_ms, self.completion_rate.period_weight, self.period_ms)
         self.completion_rate.end_period()
         self.latency.start_period()
         self.outcome_counter.start_period()
--- a/loadbalancer/policy/request_tracker.py
+++ b/loadbalancer/policy/request_tracker.py
@@ -62,7 +62,7 @@
             KeyError: its service class is not in the settings.
         """
         service_class = self._service_classes[request.service_class]
-        state = RequestState(request, service_class, now_ms, self._learn_weight(request.cost_hint_ms))
+        state = RequestState(request, service_class, now_ms, self._weigh_request(request.cost_hint_ms))
         self._open[request.request_id] = state
         if self._admission.admit(now_ms, request, service_class):
             return self._send_or_respond(now_ms, state)
@@ -154,7 +154,7 @@
             if attempt.result is None and number != except_number
         ]
 
-    def _learn_weight(self, cost_hint_ms: float | None) -> float:
+    def _weigh_request(self, cost_hint_ms: float | None) -> float:
         """Update the mean cost and return the weight of a request, by its cost if the settings say so."""
         if not self._settings.weight_by_cost or not cost_hint_ms:
             return 1.0
--- a/loadbalancer/policy/selection.py
+++ b/loadbalancer/policy/selection.py
@@ -62,7 +62,7 @@
             eligible = [item for item in candidates if self._slow_start.is_warmed_up(now_ms, item)]
         return min(eligible, key=lambda endpoint: self._rank(now_ms, endpoint, service_class), default=None)
 
-    def learn_queues(self, now_ms: float, reporting: list[TrackedEndpoint]) -> None:
+    def update_assumed_queue(self, now_ms: float, reporting: list[TrackedEndpoint]) -> None:
         """Assume the mean queue of the endpoints that have reported lately at the others, by capacity."""
         # Guard: when the assumed queue ignored capacity, the smallest endpoints of a sample looked least
         # loaded. In large pools, where most endpoints have not reported, they got several times their share
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -29,7 +29,7 @@
         self._window_ms = settings.overload_window_ms
         # Weight of completed attempts per ms, long-term; not learned while most of the pool is warming up.
         self._usual_rate = 0.0
-        self._usual_rate_learned_ms = 0.0
+        self._usual_rate_measured_ms = 0.0
         # A token bucket, filled at the usual rate: the attempts for which warming endpoints may be sampled.
         self._tokens = 0.0
         self._refilled_ms = now_ms
@@ -96,13 +96,13 @@
         chance = min(1.0, SAMPLED_ENDPOINTS * capacity / sampled_capacity) if sampled_capacity else 1.0
         return self._random.random() * chance * pool_capacity < self._allowed_factor * capacity
 
-    def learn_usual_rate(self, now_ms: float, completed_weight: float, period_ms: float) -> None:
+    def update_usual_rate(self, now_ms: float, completed_weight: float, period_ms: float) -> None:
         """Update the usual rate with the weight completed in a period, unless most are warming up."""
         pool_capacity, min_capacity = self._pool_capacities(now_ms)
         if pool_capacity < min_capacity:
             return
-        self._usual_rate_learned_ms = min(PEAK_RATE_DECAY_MS, self._usual_rate_learned_ms + period_ms)
-        gain = min(1.0, period_ms / self._usual_rate_learned_ms)
+        self._usual_rate_measured_ms = min(PEAK_RATE_DECAY_MS, self._usual_rate_measured_ms + period_ms)
+        gain = min(1.0, period_ms / self._usual_rate_measured_ms)
         self._usual_rate += gain * (completed_weight / period_ms - self._usual_rate)
         self._tokens = 0.0
         self._refilled_ms = now_ms
