--- a/loadbalancer/policy/admission.py
+++ b/loadbalancer/policy/admission.py
@@ -18,7 +18,7 @@
 from loadbalancer.policy.load_estimator import PoolLoad
 from loadbalancer.policy.parameters import (
     FULL_THRESHOLD_DEVIATIONS,
-    FULL_THRESHOLD_LATENCY_FRACTION,
+    FULL_THRESHOLD_HEADROOM_FRACTION,
     MAX_IN_FLIGHT_PER_ENDPOINT,
     MIN_IN_FLIGHT_PER_ENDPOINT,
     RETRY_PRIORITY_FACTOR,
@@ -52,7 +52,7 @@
         # replicas share the minimum. Trade-off: it can be less than one attempt.
         is_starting = self._completion_rate.is_starting()
         minimum = STARTUP_IN_FLIGHT_PER_ENDPOINT if is_starting else MIN_IN_FLIGHT_PER_ENDPOINT
-        latency_fraction = self._latency.between_baseline_and_objective(FULL_THRESHOLD_LATENCY_FRACTION)
+        latency_fraction = self._latency.between_baseline_and_objective(FULL_THRESHOLD_HEADROOM_FRACTION)
         sustainable = self._completion_rate.sustainable_in_flight(latency_fraction)
         in_flight = max(sustainable, ready_count * minimum / self._replicas)
         if self._endpoints.reports_in_flight():
--- a/loadbalancer/policy/cursor_table.py
+++ b/loadbalancer/policy/cursor_table.py
@@ -42,7 +42,7 @@
         ]
         self.last_position = len(self._position_factors) - 1
         self._cursor = 0
-        self._outcomes_since_right = SMOOTHING_OUTCOMES  # since the cursor last moved right
+        self._outcomes_since_move_right = SMOOTHING_OUTCOMES  # since the cursor last moved right
 
     @property
     def cursor(self) -> int:
@@ -51,11 +51,11 @@
 
     def move(self, pool_load: PoolLoad) -> None:
         """Move the cursor by one position: right if the load of the period is over its target, else left."""
-        self._outcomes_since_right += pool_load.outcomes
+        self._outcomes_since_move_right += pool_load.outcomes
         if pool_load.target_ratio <= 1.0:
             self._cursor = max(0, self._cursor - 1)
         elif self._may_move_right(pool_load):
-            self._outcomes_since_right = 0.0
+            self._outcomes_since_move_right = 0.0
             self._cursor = min(self.last_position, self._cursor + 1)
 
     def threshold(self, full_threshold: float, priority_weight: float) -> float:
@@ -75,5 +75,5 @@
         return (
             pool_load.latency_saturated
             or pool_load.in_flight_per_endpoint > TARGET_IN_FLIGHT_PER_ENDPOINT
-            or self._outcomes_since_right >= SMOOTHING_OUTCOMES
+            or self._outcomes_since_move_right >= SMOOTHING_OUTCOMES
         )
--- a/loadbalancer/policy/latency_baseline.py
+++ b/loadbalancer/policy/latency_baseline.py
@@ -69,10 +69,10 @@
         """Whether the smoothed latency is so close to the objective that the pool is saturated."""
         return self._fraction > SATURATED_LATENCY_FRACTION
 
-    def between_baseline_and_objective(self, part: float) -> float:
+    def between_baseline_and_objective(self, headroom_fraction: float) -> float:
         """The latency fraction at a part of the way from the baseline (0) to the objective (1)."""
         baseline = DEFAULT_BASELINE if self._baseline is None else self._baseline
-        return baseline + part * (1.0 - baseline)
+        return baseline + headroom_fraction * (1.0 - baseline)
 
     def observe(self, fraction: float) -> None:
         """Add the latency fraction of an attempt to the current period."""
--- a/loadbalancer/policy/load_signals.py
+++ b/loadbalancer/policy/load_signals.py
@@ -9,15 +9,15 @@
 from loadbalancer.policy.endpoint_set import EndpointSet
 from loadbalancer.policy.latency_baseline import LatencyBaseline, upper_median
 from loadbalancer.policy.parameters import (
-    CONGESTED_TARGET_LATENCY_FRACTION,
+    CONGESTED_TARGET_HEADROOM_FRACTION,
     CONGESTION_IN_FLIGHT_PER_ENDPOINT,
     MAX_REPLICAS_WITHOUT_MARGIN,
+    TARGET_HEADROOM_FRACTION,
     TARGET_IN_FLIGHT_PER_ENDPOINT,
-    TARGET_LATENCY_FRACTION,
     TARGET_REJECTED_FRACTION,
     TARGET_UTILISATION,
     UTILISATION_MARGIN,
-    UTILISATION_TARGET_LATENCY_FRACTION,
+    UTILISATION_TARGET_HEADROOM_FRACTION,
 )
 from loadbalancer.policy.tracked_endpoint import TrackedEndpoint
 
@@ -102,15 +102,15 @@
         return 0.0
     if not latency.is_measured() and not (latency.is_saturated() and _has_attempt_in_flight(endpoints)):
         return 0.0
-    target_part = _target_latency_part(endpoints, utilisation, replicas)
-    return latency.fraction / latency.between_baseline_and_objective(target_part)
+    headroom_fraction = _target_headroom_fraction(endpoints, utilisation, replicas)
+    return latency.fraction / latency.between_baseline_and_objective(headroom_fraction)
 
 
 def _has_attempt_in_flight(endpoints: EndpointSet) -> bool:
     return any(endpoint.in_flight > 0.0 for endpoint in endpoints.ready)
 
 
-def _target_latency_part(endpoints: EndpointSet, utilisation: float | None, replicas: int) -> float:
+def _target_headroom_fraction(endpoints: EndpointSet, utilisation: float | None, replicas: int) -> float:
     """The target of latency as a part of the way from the quiet baseline to the objective.
 
     Guard: a strict target over few outcomes shed load that endpoints had capacity for; a loose one let
@@ -118,7 +118,7 @@
     replicas are assumed to have as many attempts in flight as this one.
     """
     if utilisation is not None:
-        return UTILISATION_TARGET_LATENCY_FRACTION
+        return UTILISATION_TARGET_HEADROOM_FRACTION
     if replicas * endpoints.in_flight() >= CONGESTION_IN_FLIGHT_PER_ENDPOINT * len(endpoints.ready):
-        return CONGESTED_TARGET_LATENCY_FRACTION
-    return TARGET_LATENCY_FRACTION
+        return CONGESTED_TARGET_HEADROOM_FRACTION
+    return TARGET_HEADROOM_FRACTION
