--- a/loadbalancer/policy/admission.py
+++ b/loadbalancer/policy/admission.py
@@ -1,8 +1,10 @@
-"""Admission control: each request is admitted or rejected at once, by priority and attempts in flight.
+"""Admission control: requests are admitted or rejected on arrival, by priority and attempts in flight.
 
-A request is admitted while the proxy's attempts in flight stay under the threshold that the cursor table
-holds for the request's priority. Once per period, the load of the pool moves the cursor by one position: over
-its target, to lower thresholds, which shed the lowest priorities first; otherwise, back to higher ones.
+A request is admitted if the weight of the proxy's attempts in flight is below the threshold that the cursor
+table holds for the cursor's position and the request's priority; with less than 1 left to the threshold, it
+is admitted with that probability. Once per period, the cursor moves by at most one position: to the right,
+where thresholds are lower, if the load of the pool is over its target, and else back to the left. Thresholds
+fall faster for lower priorities, so that these are rejected first.
 """
 
 from __future__ import annotations
@@ -29,9 +31,10 @@
 
 
 class FullThreshold:
-    """The attempts in flight that this proxy may have while the pool is not overloaded.
+    """The threshold of attempts in flight for the highest priority while the pool is not overloaded.
 
-    Derived from what the pool sustains, within bounds per endpoint.
+    By Little's law, it follows from the pool's peak completion rate and an allowed latency, within bounds per
+    endpoint.
     """
 
     def __init__(
@@ -48,8 +51,8 @@
 
     def value(self, ready_count: int) -> float:
         """The threshold with this number of ready endpoints, as a weight in flight."""
-        # Guard: a minimum of one attempt per replica added up to a threshold that never took effect. All
-        # replicas share the minimum. Trade-off: it can be less than one attempt.
+        # With many replicas, a minimum of one attempt per replica adds up to a threshold that never takes
+        # effect. All replicas therefore share the minimum. Trade-off: it can be less than one attempt.
         is_starting = self._completion_rate.is_starting()
         minimum = STARTUP_IN_FLIGHT_PER_ENDPOINT if is_starting else MIN_IN_FLIGHT_PER_ENDPOINT
         latency_fraction = self._latency.between_baseline_and_objective(FULL_THRESHOLD_HEADROOM_FRACTION)
@@ -93,18 +96,18 @@
         return self._table.last_position
 
     def move_cursor(self, pool_load: PoolLoad) -> None:
-        """Move the cursor by the load of the period that ends."""
+        """Move the cursor in accordance with the load of the period that ends."""
         self._table.move(pool_load)
 
     def admit(self, now_ms: float, request: IncomingRequest, service_class: ServiceClass) -> bool:
-        """Decide whether a request is admitted; takes a token from its tenant's quota."""
+        """Whether a request is admitted; takes a token from its tenant's quota."""
         in_flight = self._endpoints.in_flight()
         over_quota = not self.take_quota_token(now_ms, request.tenant)
         priority_weight = self.priority_weight(request, service_class, over_quota=over_quota)
         remaining = self.threshold(priority_weight, len(self._endpoints.ready)) - in_flight
-        # Guard: one attempt from each of hundreds of replicas kept the pool congested. What remains below one
-        # attempt is therefore the chance that the request is admitted. Trade-off: at very low thresholds,
-        # admission of a single request is random.
+        # With hundreds of replicas, one attempt from each is enough to keep the pool congested. A remainder
+        # below one attempt is therefore the probability that the request is admitted. Trade-off: at very low
+        # thresholds, the admission of a single request is random.
         return remaining >= 1.0 or self._random.random() < remaining
 
     def take_quota_token(self, now_ms: float, tenant: str | None) -> bool:
@@ -115,14 +118,14 @@
     def priority_weight(
         self, request: IncomingRequest, service_class: ServiceClass, *, over_quota: bool
     ) -> float:
-        """The weight of a request over the highest class's; lower for retries and over the tenant's quota."""
+        """Priority weight over that of the highest class; lower for client retries and over the quota."""
         weight = service_class.priority_weight / self._max_priority_weight
         if request.is_retry:
             weight *= RETRY_PRIORITY_FACTOR
         return weight * self._settings.over_quota_weight if over_quota else weight
 
     def threshold(self, priority_weight: float, ready_count: int) -> float:
-        """The threshold in force for a priority weight with this number of ready endpoints."""
+        """The threshold at the cursor for a priority weight with this number of ready endpoints."""
         return self._table.threshold(self._full_threshold.value(ready_count), priority_weight)
 
     def retry_after_ms(self) -> float:
--- a/loadbalancer/policy/cursor_table.py
+++ b/loadbalancer/policy/cursor_table.py
@@ -27,7 +27,7 @@
 
 
 class CursorTable:
-    """A table of thresholds and the cursor that load moves over its positions.
+    """A table of thresholds by position and priority row, and the cursor that load moves over its positions.
 
     Attributes:
         last_position: the position at the right end, which admits the least; 0, at the left end, admits the
@@ -35,22 +35,22 @@
     """
 
     def __init__(self) -> None:
-        # Each position's threshold over the full one, before the exponent of its row.
+        # Each position's threshold as a fraction of the full threshold, before the exponent of the row.
         self._position_factors = [1.0] * FULL_THRESHOLD_POSITIONS
         self._position_factors += [
             THRESHOLD_DECAY**position for position in range(1, REDUCED_THRESHOLD_POSITIONS + 1)
         ]
         self.last_position = len(self._position_factors) - 1
         self._cursor = 0
-        self._outcomes_since_move_right = SMOOTHING_OUTCOMES  # since the cursor last moved right
+        self._outcomes_since_move_right = SMOOTHING_OUTCOMES  # the first move right does not wait
 
     @property
     def cursor(self) -> int:
-        """The position in force."""
+        """The position of the cursor; its thresholds are in force."""
         return self._cursor
 
     def move(self, pool_load: PoolLoad) -> None:
-        """Move the cursor by one position: right if the load of the period is over its target, else left."""
+        """Move the cursor by at most one position: right if the load is over its target, else left."""
         self._outcomes_since_move_right += pool_load.outcomes
         if pool_load.target_ratio <= 1.0:
             self._cursor = max(0, self._cursor - 1)
@@ -59,7 +59,7 @@
             self._cursor = min(self.last_position, self._cursor + 1)
 
     def threshold(self, full_threshold: float, priority_weight: float) -> float:
-        """The threshold at the cursor, in the row of a priority weight; 1 is the highest weight."""
+        """The threshold at the cursor's position in the row of a priority weight; the highest weight is 1."""
         halvings = -math.log2(max(priority_weight, MIN_PRIORITY_WEIGHT))
         row = min(1.0, max(0.0, halvings / PRIORITY_ROW_HALVINGS))  # 0: the highest, 1: the lowest
         exponent = HIGHEST_ROW_EXPONENT + (1.0 - HIGHEST_ROW_EXPONENT) * row
@@ -67,11 +67,11 @@
         return max(MIN_THRESHOLD, row_threshold * math.pow(self._position_factors[self._cursor], exponent))
 
     def _may_move_right(self, pool_load: PoolLoad) -> bool:
-        # Guard: latency lags load by a round trip. With few outcomes per period, all replicas used to move 6
-        # to 10 positions right before the first move took effect, and left endpoints half idle. A move right
-        # therefore waits for `SMOOTHING_OUTCOMES` outcomes, whatever the signal. Trade-off: the reaction is
-        # slower when load rises faster than responses arrive, so saturated latency and reported requests in
-        # flight over the target bypass the wait.
+        # Latency lags load by a round trip. With few outcomes per period, without a wait, all replicas move 6
+        # to 10 positions right before the first move takes effect, and endpoints are left half idle. A move
+        # right therefore waits for `SMOOTHING_OUTCOMES` outcomes since the last one, whichever signal is over
+        # its target. Trade-off: the reaction is slower when load rises faster than responses arrive, so
+        # saturated latency and reported requests in flight over their target bypass the wait.
         return (
             pool_load.latency_saturated
             or pool_load.in_flight_per_endpoint > TARGET_IN_FLIGHT_PER_ENDPOINT
--- a/loadbalancer/policy/parameters.py
+++ b/loadbalancer/policy/parameters.py
@@ -111,7 +111,7 @@
 LATENCY_DECAY_MS = 8000.0
 # Milliseconds. The time constant of an endpoint's failure ratio, which decays to 0 without new attempts.
 FAILURE_DECAY_MS = 30000.0
-# Ratio. The upper bound of the failure ratio in the rank; leaves a failing endpoint some attempts.
+# Ratio. The upper bound of the failure ratio in the rank; a failing endpoint still gets some attempts.
 MAX_FAILURE_RATIO = 0.9
 # Exponent of the success ratio in the rank. Failing endpoints lose attempts more than in proportion.
 FAILURE_EXPONENT = 3.0
--- a/loadbalancer/policy/policy.py
+++ b/loadbalancer/policy/policy.py
@@ -1,13 +1,14 @@
 """The policy: takes the events of loadbalancer/events.py and returns the actions of loadbalancer/actions.py.
 
-Each request is admitted or rejected on arrival: a cursor, which the pool's load moves once per period,
-selects the number of attempts that the proxy may have in flight at the request's priority (admission.py). An
-admitted request goes to the best ranked of three endpoints sampled by capacity (selection.py), and is retried
-elsewhere only where a second execution does no harm (retry_rules.py).
+On arrival, a request is admitted if the proxy's attempts in flight are below the threshold for its priority,
+and rejected otherwise; once per period, the thresholds are lowered if the load of the pool is over its
+target, and raised if it is not (admission.py). Each attempt for an admitted request is sent to the best
+ranked of three endpoints, sampled at random in proportion to their capacity (selection.py), of which one that
+is warming up gets a limited share of the attempts (slow_start.py). If an attempt fails, the request is
+retried at another endpoint only if a second execution is impossible or harmless (retry_rules.py).
 
 The policy does no I/O: `LoadBalancingPolicy.handle(now_ms, event)` depends on the settings, the seed and the
-events so far with their times, and on nothing else. A `Guard:` comment marks a departure from the simplest
-design: the failure it prevents, how, and the trade-off.
+events so far with their times, and on nothing else.
 """
 
 from __future__ import annotations
@@ -41,7 +42,7 @@
 from loadbalancer.policy.slow_start import SlowStart
 from loadbalancer.settings import Settings
 
-# Names of timers, which appear on the simulator's wire.
+# Names of timers, which are part of the simulator's protocol.
 PERIOD_TIMER = "period"
 WATCH_TIMER = "watch"
 
@@ -50,16 +51,16 @@
     """Decides for one proxy which requests are admitted, where their attempts go, and how they end.
 
     Attributes:
-        settings: as given.
+        settings: the configuration, fixed at the start.
         period_ms: the time between two moves of the cursor.
         endpoints: the listed endpoints and their state.
         class_latency: the mean latency of each service class.
-        latency: the pool's smoothed latency and its quiet baseline.
+        latency: the pool's smoothed latency and its baseline at low load.
         completion_rate: the rate of completed attempts.
         outcome_counter: the outcomes of the current period.
-        outcome_recorder: passes each outcome to the above.
+        outcome_recorder: updates the four above and the endpoint with each outcome.
         load_estimator: the load of the pool.
-        slow_start: the capacity of warming endpoints.
+        slow_start: the capacity of endpoints that are warming up, and the limit on their attempts.
         selector: selects the endpoint of an attempt.
         admission: the cursor table and tenants' quotas.
         requests: open requests and their attempts.
@@ -98,9 +99,9 @@
         return self.admission.cursor
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """Take one event; returns the actions for the host to carry out, in this order.
+        """Handle one event; returns the actions for the host to carry out, in this order.
 
-        Time never goes back between events. The first event also starts the policy's own timer and, where
+        Event times never decrease. The first event also starts the policy's own timer and, where
         discovery is polled, its watch.
         """
         if not self._started:
@@ -149,7 +150,7 @@
         return [StartWatch()]
 
     def _end_period(self, now_ms: float) -> None:
-        """Learn from the period that ends, and move the cursor by its load."""
+        """Update the estimates from the period that ends, and move the cursor by its load."""
         self.endpoints.expire_abandoned(now_ms)
         reporting = self.endpoints.reporting(now_ms)
         self.selector.update_assumed_queue(now_ms, reporting)
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -75,8 +75,8 @@
             return sampled
         pool_capacity, min_capacity = self._pool_capacities(now_ms)
         if pool_capacity >= min_capacity or self._usual_rate <= 0.0:
-            # Shares add up to all attempts, which overload a pool that is warming up as a whole. They are
-            # therefore computed with at least the minimum capacity. Trade-off: unused capacity of the pool.
+            # The shares of all endpoints add up to all attempts, which overload a pool that is mostly warming
+            # up. The capacity is at least the minimum here. Trade-off: some capacity of the pool is unused.
             pool_capacity = max(pool_capacity, min_capacity)
         else:
             # Over the usual rate, fewer tokens give a larger pool capacity, so smaller shares.
