--- a/loadbalancer/policy/completion_rate.py
+++ b/loadbalancer/policy/completion_rate.py
@@ -12,7 +12,7 @@
 
 
 class CompletionRate:
-    """Learns the weight of successful attempts per millisecond, once per period."""
+    """Estimates the rate of successful attempts once per period, as weight per millisecond."""
 
     def __init__(self, settings: Settings, period_ms: float) -> None:
         self._period_ms = period_ms
@@ -33,7 +33,7 @@
         return self._ended_periods * self._period_ms < STARTUP_MS
 
     def sustainable_in_flight(self, latency_fraction: float) -> float:
-        """The weight in flight at the peak rate and a latency over the objective, by Little's law."""
+        """The weight in flight at the peak rate and a latency fraction, by Little's law."""
         return self._peak_rate * self._mean_objective_ms * latency_fraction
 
     def observe(self, service_class: ServiceClass, weight: float) -> None:
--- a/loadbalancer/policy/latency_baseline.py
+++ b/loadbalancer/policy/latency_baseline.py
@@ -1,7 +1,8 @@
-"""Learned latencies: the mean of each service class, and the pool's latency with its quiet baseline.
+"""Latency estimates: the mean of each service class, and the smoothed latency of the pool with its baseline.
 
 A latency fraction is a latency over the latency objective of its service class, so that the latencies of
-different classes can be compared.
+different classes can be compared. The baseline is the latency fraction of the pool at low load. The latency
+headroom is the distance from the baseline to 1, which is the objective.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 
 def upper_median(values: list[float]) -> float | None:
-    """The upper median, which one outlier does not move; None without values."""
+    """The upper median, on which a single outlier has little effect; None without values."""
     return sorted(values)[len(values) // 2] if values else None
 
 
@@ -44,13 +45,13 @@
 
 
 class LatencyBaseline:
-    """Learns the smoothed latency fraction of the pool and its quiet baseline, once per period."""
+    """Estimates the smoothed latency fraction of the pool and its baseline, once per period."""
 
     def __init__(self) -> None:
         self._fraction = 0.0  # smoothed
-        self._baseline: float | None = None  # the fraction while the pool is quiet
-        self._first_fractions: list[float] = []  # the first ones, whose median is the first baseline
-        self._period_fractions: list[float] = []  # those of the current period
+        self._baseline: float | None = None  # the fraction at low load
+        self._first_fractions: list[float] = []  # measured first; their median is the first baseline
+        self._period_fractions: list[float] = []  # measured in the current period
 
     @property
     def fraction(self) -> float:
@@ -70,7 +71,7 @@
         return self._fraction > SATURATED_LATENCY_FRACTION
 
     def between_baseline_and_objective(self, headroom_fraction: float) -> float:
-        """The latency fraction at a part of the way from the baseline (0) to the objective (1)."""
+        """The baseline plus a fraction of the latency headroom: 0 gives the baseline, 1 the objective."""
         baseline = DEFAULT_BASELINE if self._baseline is None else self._baseline
         return baseline + headroom_fraction * (1.0 - baseline)
 
@@ -83,15 +84,15 @@
         fractions = self._period_fractions
         if not fractions:
             return
-        # Guard: classes differ in their quiet latency over the objective, and short attempts end first. A
-        # baseline from one early outcome was a third too low, and an idle pool counted as overloaded until
-        # the restart. The first baseline is therefore the median of `MIN_BASELINE_OUTCOMES` outcomes or more.
-        # Trade-off: load that is there from the start enters the first baseline.
+        # Classes differ in their latency fraction at low load, and short attempts end first. A baseline from
+        # one early outcome can be a third too low, and an idle pool then counts as overloaded until the
+        # restart. The first baseline is therefore the median of `MIN_BASELINE_OUTCOMES` outcomes or more.
+        # Trade-off: load that is present from the start raises the first baseline.
         if self._baseline is None or len(self._first_fractions) < MIN_BASELINE_OUTCOMES:
             self._first_fractions += fractions
             self._baseline = self._fraction = upper_median(self._first_fractions) or 0.0
             return
-        weight = len(fractions) / (len(fractions) + SMOOTHING_OUTCOMES)  # few outcomes prove little
+        weight = len(fractions) / (len(fractions) + SMOOTHING_OUTCOMES)  # few outcomes have little weight
         self._fraction += weight * ((upper_median(fractions) or 0.0) - self._fraction)
         if self._fraction < self._baseline:
             self._baseline += BASELINE_GAIN_DOWN * (self._fraction - self._baseline)
--- a/loadbalancer/policy/load_estimator.py
+++ b/loadbalancer/policy/load_estimator.py
@@ -1,4 +1,4 @@
-"""Estimates the pool's load once per period, as the strongest of four signals."""
+"""Estimates the load of the pool once per period, as the maximum of four signals."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 class PoolLoad:
-    """The load of one period and what else a move of the cursor depends on.
+    """The load of the pool in one period, and the other values that a move of the cursor depends on.
 
     Attributes:
-        target_ratio: the strongest signal; 1 is the target.
-        outcomes: their number in this period.
-        in_flight_per_endpoint: reported, a mean; 0 where none is reported.
+        target_ratio: the maximum of the signals; 1 is the target.
+        outcomes: the number of outcomes in this period.
+        in_flight_per_endpoint: the mean weight in flight that endpoints report; 0 if none reports it.
         latency_saturated: whether the pool's smoothed latency is close to the objective.
     """
 
@@ -38,7 +38,7 @@
 
 
 class LoadEstimator:
-    """Takes the strongest signal of load, so that any one of them is enough to shed load."""
+    """Estimates the load as the maximum of its signals: any one of them is enough to shed load."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
         self._target_utilisation = target_utilisation(replicas)
 
     def estimate(self, reporting: list[TrackedEndpoint]) -> PoolLoad:
-        """The load of the current period; `reporting` are the endpoints with a fresh load report."""
+        """The load of the current period; `reporting` holds the endpoints with a fresh load report."""
         utilisation = reported_utilisation(reporting)
         in_flight_per_endpoint = reported_in_flight_per_endpoint(self._endpoints, reporting)
         strongest = max(
--- a/loadbalancer/policy/load_signals.py
+++ b/loadbalancer/policy/load_signals.py
@@ -1,6 +1,6 @@
 """The four signals of the pool's load: latency, utilisation, requests in flight and rejections.
 
-Each signal is a ratio to its target: 1 is at the target, and 0 means that the signal says nothing.
+Each signal is a ratio to its target: 1 is at the target, and 0 means that there is nothing to measure it by.
 """
 
 from __future__ import annotations
@@ -38,13 +38,14 @@
     def observe(self, result: AttemptResult) -> None:
         """Count the result of an attempt."""
         self._outcomes += 1
-        # Guard: when a tier below rejects, the entry tier sees errors only and used to go on sending. Errors
-        # therefore count as rejections there. Trade-off: faulty endpoints look overloaded.
+        # When a tier below rejects requests, the entry tier receives errors only. Errors count as rejections
+        # there, since it would otherwise continue to send at the same rate. Trade-off: faulty endpoints count
+        # as overloaded.
         if result is AttemptResult.REJECTED or (result is AttemptResult.ERROR and self._is_entry_tier):
             self._rejected += 1
 
     def rejection_load(self) -> float:
-        """The signal of rejections: their fraction of the period's outcomes."""
+        """The signal of rejections: their fraction of the period's outcomes, over its target."""
         return self._rejected / self._outcomes / TARGET_REJECTED_FRACTION if self._outcomes else 0.0
 
     def start_period(self) -> None:
@@ -54,7 +55,7 @@
 
 
 def reported_in_flight_per_endpoint(endpoints: EndpointSet, reporting: list[TrackedEndpoint]) -> float:
-    """Mean weight in flight at an endpoint from all proxies, by load reports; 0 without such reports."""
+    """Mean weight in flight per endpoint from all replicas, by load reports; 0 without such reports."""
     if not reporting or not endpoints.reports_in_flight():
         return 0.0
     return sum([endpoint.reported_queue + endpoint.in_flight for endpoint in reporting]) / len(reporting)
@@ -66,25 +67,25 @@
 
 
 def utilisation_load(utilisation: float | None, target: float) -> float:
-    """The signal of utilisation, whose target is from `target_utilisation`."""
+    """The signal of utilisation: the median over its target, which `target_utilisation` returns."""
     return 0.0 if utilisation is None else utilisation / target
 
 
 def target_utilisation(replicas: int) -> float:
     """The target of the median utilisation.
 
-    Guard: with many replicas load is uneven. Endpoints above the median were saturated one by one while the
-    median was below 0.97. The target falls with the number of replicas. Trade-off: a little capacity
+    With many replicas, load is uneven, and endpoints above the median are saturated one by one while the
+    median is below 0.97. The target therefore falls with the number of replicas. Trade-off: a little capacity
     is left unused where load is even.
     """
     return TARGET_UTILISATION - UTILISATION_MARGIN * (1.0 - min(1.0, MAX_REPLICAS_WITHOUT_MARGIN / replicas))
 
 
 def in_flight_load(in_flight_per_endpoint: float) -> float:
-    """The signal of requests in flight.
+    """The signal of requests in flight: their mean number per endpoint, over its target.
 
-    Guard: a response reports the load at the time when its attempt was sent, so that endpoints used to be
-    saturated before latency rose. Counts in flight show the present load.
+    The latency of a response reflects the load at the time when its attempt was sent, so that endpoints are
+    saturated before latency rises. The number in flight reflects the current load.
     """
     return in_flight_per_endpoint / TARGET_IN_FLIGHT_PER_ENDPOINT
 
@@ -94,8 +95,8 @@
 ) -> float:
     """The signal of latency: the smoothed fraction over its target.
 
-    Guard: with less than one response per period, each period without a response used to move the cursor
-    left, and congestion stayed. A saturated latency counts without new responses while attempts are in
+    With less than one response per period, each period without a response moves the cursor left, and
+    congestion persists. A saturated latency therefore counts without new responses while attempts are in
     flight.
     """
     if not latency.is_known():
@@ -111,11 +112,11 @@
 
 
 def _target_headroom_fraction(endpoints: EndpointSet, utilisation: float | None, replicas: int) -> float:
-    """The target of latency as a part of the way from the quiet baseline to the objective.
+    """The target of latency, as a fraction of the latency headroom above the baseline.
 
-    Guard: a strict target over few outcomes shed load that endpoints had capacity for; a loose one let
-    congested endpoints become slow. The target is strict only while endpoints may be congested. The other
-    replicas are assumed to have as many attempts in flight as this one.
+    With few outcomes, a strict target sheds load that endpoints have capacity for; a loose one does not
+    prevent that congested endpoints become slow. The target is strict only while endpoints may be congested.
+    The other replicas are assumed to have as many attempts in flight as this one.
     """
     if utilisation is not None:
         return UTILISATION_TARGET_HEADROOM_FRACTION
--- a/loadbalancer/policy/outcome_recorder.py
+++ b/loadbalancer/policy/outcome_recorder.py
@@ -1,4 +1,4 @@
-"""Learning from the outcome of an attempt, for its endpoint and for the pool."""
+"""Records the outcome of an attempt in the state of its endpoint and in the estimates of the pool."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class OutcomeRecorder:
-    """Passes each outcome to the learned quantities that it says something about."""
+    """Updates the endpoint and the pool's latency, completion rate and outcome counts with each outcome."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         attempt: AttemptState,
         outcome: AttemptOutcome,
     ) -> None:
-        """End an attempt at its endpoint and learn from its result and latency."""
+        """End an attempt at its endpoint; update the endpoint and the pool by its result and latency."""
         result, name = outcome.result, service_class.name
         expected_latency_ms = self._class_latency.mean_ms(name) or 0.0
         endpoint.end_attempt(attempt, result, now_ms + expected_latency_ms)
@@ -52,7 +52,7 @@
     def observe(
         self, service_class: ServiceClass, result: AttemptResult, latency_ms: float, weight: float
     ) -> None:
-        """Learn about the pool from the end of an attempt."""
+        """Update the estimates of the pool with the outcome of an attempt."""
         match result:
             case AttemptResult.NOT_SENT:
                 return
@@ -67,8 +67,8 @@
             self._completion_rate.observe(service_class, weight)
 
     def _observe_cancelled(self, service_class: ServiceClass, latency_ms: float) -> None:
-        # Guard: clients abandon slow requests; without their attempts a congested pool looked fast. A
-        # cancelled attempt that took longer than the mean of its class counts with the time it took.
+        # Clients abandon slow requests; without their attempts, the latency of a congested pool is estimated
+        # too low. A cancelled attempt that took longer than the mean of its class counts with its duration.
         mean_ms = self._class_latency.mean_ms(service_class.name)
         if mean_ms is not None and latency_ms > mean_ms:
             self._latency.observe(latency_ms / service_class.latency_objective_ms)
