--- a/loadbalancer/policy/attempts.py
+++ b/loadbalancer/policy/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts at an endpoint and the failure ratio learned from them."""
+"""The state of an attempt at an endpoint, and the failure ratio of such attempts."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class AbandonedAttempt:
-    """An attempt that this proxy stopped and its endpoint may execute until `expected_end_ms`."""
+    """An attempt that this proxy stopped, and that its endpoint may execute until `expected_end_ms`."""
 
     __slots__ = ("expected_end_ms", "weight")
 
--- a/loadbalancer/policy/discovery_backoff.py
+++ b/loadbalancer/policy/discovery_backoff.py
@@ -10,37 +10,36 @@
 
 
 class DiscoveryBackoff:
-    """Exponential backoff with jitter that starts the next watch request within the watch cycle."""
+    """Exponential backoff with jitter, after which a watch request starts within the watch cycle."""
 
     def __init__(self, random: Random, now_ms: float) -> None:
         self._random = random
         self._consecutive_failures = 0
-        self._request_started_ms = now_ms  # of the watch request in progress, at the latest
+        self._request_started_ms = now_ms  # start of the latest watch request
 
     def start_request(self, now_ms: float) -> None:
-        """Note that a watch request starts."""
+        """Record that a watch request starts."""
         self._request_started_ms = now_ms
 
     def observe_success(self, now_ms: float, kind: UpdateKind) -> None:
-        """Note that a list arrived, after which the next request starts at once.
+        """Record that a list arrived, after which the next request starts at once.
 
-        A cached list comes from the configuration and does not end a series of failures.
+        A cached list comes from the configuration, so it does not end a series of failures.
         """
         self._request_started_ms = now_ms
         if kind is not UpdateKind.CACHED:
             self._consecutive_failures = 0
 
     def observe_failure(self, now_ms: float) -> float:
-        """Note that a watch request failed; returns the time until the next one, in milliseconds."""
+        """Record that a watch request failed; returns the time until the next one, in milliseconds."""
         request_ms = now_ms - self._request_started_ms
         self._request_started_ms = now_ms
         self._consecutive_failures += 1
-        # Guard: a backoff after a long request without a response delayed a change by over 6 s after
-        # discovery's return. The backoff is limited to what the request left of the watch cycle. Trade-off:
-        # discovery gets more requests after slow failures.
+        # A full backoff after a long request without a response delays a change by over 6 s after discovery
+        # is available again. The backoff is limited to the remainder of the watch cycle after the request.
+        # Trade-off: discovery gets more requests after slow failures.
         remaining_ms = WATCH_CYCLE_MS - max(WATCH_INITIAL_BACKOFF_MS, request_ms)
-        # Guard: a backoff that doubled without limit overflowed after 1,024 failures, and the policy failed.
-        # The number of doublings is limited.
+        # Without a limit on the doublings, the backoff overflows after 1,024 failures, and the policy fails.
         doublings = min(MAX_BACKOFF_DOUBLINGS, self._consecutive_failures - 1)
         backoff_ms = min(WATCH_INITIAL_BACKOFF_MS * 2.0**doublings, remaining_ms)
         return max(WATCH_INITIAL_BACKOFF_MS, backoff_ms) * self._random.uniform(MIN_BACKOFF_JITTER, 1.0)
--- a/loadbalancer/policy/endpoint_set.py
+++ b/loadbalancer/policy/endpoint_set.py
@@ -25,7 +25,7 @@
 
     @property
     def ready(self) -> list[TrackedEndpoint]:
-        """The endpoints that may get attempts, in the list's order; not to be changed by the caller."""
+        """The endpoints that may get attempts, in the list's order; the caller must not change the list."""
         return self._ready
 
     def apply(self, update: MembershipUpdate) -> None:
@@ -61,9 +61,9 @@
 
     def reporting(self, now_ms: float) -> list[TrackedEndpoint]:
         """The ready endpoints whose last load report is fresh."""
-        # Guard: a proxy that rejects all requests gets no new load reports, and used to go on rejecting
-        # because of the last ones. A report counts for `REPORT_FRESHNESS_MS` only. Trade-off: a proxy with
-        # little traffic has no load reports between its requests.
+        # A proxy that rejects all requests gets no new load reports, and without an age limit continues to
+        # reject because of the last ones. A report counts for `REPORT_FRESHNESS_MS` only. Trade-off: a proxy
+        # with little traffic has no load reports between its requests.
         return [endpoint for endpoint in self._ready if endpoint.reported_ms >= now_ms - REPORT_FRESHNESS_MS]
 
     def expire_abandoned(self, now_ms: float) -> None:
--- a/loadbalancer/policy/request_state.py
+++ b/loadbalancer/policy/request_state.py
@@ -12,13 +12,13 @@
     """One open request and its attempts, written by the request tracker only.
 
     Attributes:
-        request: the event that brought the request.
+        request: the event of the request's arrival.
         service_class: its service class.
-        received_ms: when it arrived.
-        weight: what an attempt for it counts in flight.
+        received_ms: the time of its arrival.
+        weight: the weight in flight of each attempt for it.
         attempts: all attempts, by number.
         tried_endpoints: the endpoint of each attempt, by the same number.
-        done: whether the final response is given or no longer due.
+        done: whether the final response has been given or is no longer needed.
         streaming: whether a streamed response has begun.
     """
 
@@ -46,11 +46,11 @@
         self.streaming = False
 
     def has_attempt_in_flight(self) -> bool:
-        """Whether the outcome of an attempt is still due."""
+        """Whether the outcome of an attempt is still pending."""
         return any([attempt.result is None for attempt in self.attempts])
 
     def first_possibly_executed(self) -> int | None:
-        """The number of the first attempt that may have been executed or may still be; None without any."""
+        """The number of the first attempt that may have been or may yet be executed; None without any."""
         for number, attempt in enumerate(self.attempts):
             if attempt.result is None or not attempt.result.not_processed:
                 return number
--- a/loadbalancer/policy/request_tracker.py
+++ b/loadbalancer/policy/request_tracker.py
@@ -1,4 +1,4 @@
-"""Open requests, from their arrival to their one final response.
+"""Tracks open requests from their arrival to their one final response.
 
 Methods return the actions for the host to carry out, in order.
 """
@@ -30,7 +30,7 @@
 
 
 class RequestTracker:
-    """Takes each request from its arrival, over its attempts, to its one final response."""
+    """Admits requests, starts their attempts and retries, and gives each request its one final response."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
 
     @property
     def open_requests(self) -> Mapping[str, RequestState]:
-        """The requests whose final response or the outcome of an attempt is due, by request id."""
+        """Requests for which the final response or the outcome of an attempt is pending, by request id."""
         return self._open
 
     def receive(self, now_ms: float, request: IncomingRequest) -> list[Action]:
@@ -137,7 +137,7 @@
         return [Fail(request_id), *self._end(state)]
 
     def _end(self, state: RequestState) -> list[Action]:
-        """End a request whose final response is no longer due; forget it once no attempt is in flight."""
+        """End a request that needs no final response any more; remove it once no attempt is in flight."""
         was_done, state.done = state.done, True
         if not state.has_attempt_in_flight():
             self._open.pop(state.request.request_id, None)
@@ -155,7 +155,7 @@
         ]
 
     def _weigh_request(self, cost_hint_ms: float | None) -> float:
-        """Update the mean cost and return the weight of a request, by its cost if the settings say so."""
+        """Update the mean cost; return the request's cost over it, or 1 without a cost or weights by cost."""
         if not self._settings.weight_by_cost or not cost_hint_ms:
             return 1.0
         gain = CLASS_GAIN if self._mean_cost_hint_ms else 1.0
--- a/loadbalancer/policy/retry_rules.py
+++ b/loadbalancer/policy/retry_rules.py
@@ -1,4 +1,9 @@
-"""The rules of retries: which endpoints a further attempt may use, and until when. They keep no state."""
+"""The rules of retries, without state: which endpoints the next attempt may use, and until when.
+
+A request is retried after an attempt that the endpoint did not process, or if a second execution does no
+harm: the request is idempotent, or the next endpoint drops a repeat by its idempotency key. No endpoint gets
+two attempts for one request.
+"""
 
 from __future__ import annotations
 
@@ -10,27 +15,27 @@
 
 
 def attempt_timeout_ms(now_ms: float, state: RequestState) -> float:
-    """How long an attempt that is sent now may take; 0 or less if there is no time left."""
+    """The time-out of an attempt that is sent now; 0 or less if no time remains."""
     remaining_ms = state.request.deadline_ms - now_ms
     service_class = state.service_class
     if service_class.late_weight <= 0.0 and not service_class.streaming:
-        # Guard: responses after the objective had no value and took capacity from others. An attempt whose
-        # late response has no value is stopped just before the objective. Trade-off: the client gets a
-        # rejection or failure where it could have had a late response.
+        # Responses after the objective have no value for this class and take capacity from other requests. An
+        # attempt is therefore stopped just before the objective. Trade-off: the client gets a rejection or
+        # failure instead of a late response.
         objective_ms = service_class.latency_objective_ms * OBJECTIVE_TIMEOUT_FRACTION
         remaining_ms = min(remaining_ms, state.received_ms + objective_ms - now_ms)
     return remaining_ms
 
 
 def max_start_delay_ms(now_ms: float, state: RequestState) -> float:
-    """How much later than now an attempt may still be started; 0 means at any time."""
+    """The delay after now within which the next attempt must start; 0 means no limit."""
     if state.service_class.idempotency is not Idempotency.KEYED:
         return 0.0
     first = state.first_possibly_executed()
     if first is None:
         return 0.0
-    # Guard: a retry whose connection opened late was sent when its key may have been forgotten, and could be
-    # executed twice. The retry must start within the deduplication window. Trade-off: a retry that connects
+    # A retry whose connection opens late can arrive when the endpoints no longer store its key, and is then
+    # executed a second time. It must start within the deduplication window. Trade-off: a retry that connects
     # later is dropped.
     return state.attempts[first].sent_ms + state.service_class.deduplication_window_ms - now_ms
 
@@ -38,7 +43,7 @@
 def candidate_endpoints(
     now_ms: float, state: RequestState, ready: list[TrackedEndpoint]
 ) -> list[TrackedEndpoint]:
-    """The ready endpoints that the next attempt may go to: none twice, and none where a repeat does harm."""
+    """The ready endpoints that may get the next attempt: untried ones, where a repeat does no harm."""
     if not state.attempts:
         return ready
     first = state.first_possibly_executed()
@@ -52,7 +57,7 @@
 
 
 def is_client_retry_harmless(state: RequestState) -> bool:
-    """Whether the client may repeat the request: it is idempotent, or surely was not executed."""
+    """Whether the client may repeat the request: it is idempotent, or was certainly not executed."""
     return (
         state.service_class.idempotency is Idempotency.IDEMPOTENT or state.first_possibly_executed() is None
     )
@@ -71,7 +76,7 @@
 def _in_deduplication_scope(
     endpoints: list[TrackedEndpoint], scope: DeduplicationScope, first: TrackedEndpoint
 ) -> list[TrackedEndpoint]:
-    """The endpoints that drop a repeat of an attempt that the first one may have executed."""
+    """The endpoints that share the record of idempotency keys with the first one, and so drop a repeat."""
     zone, cell = first.listed.zone, first.listed.cell
     match scope:
         case DeduplicationScope.ALL:
--- a/loadbalancer/policy/selection.py
+++ b/loadbalancer/policy/selection.py
@@ -1,4 +1,4 @@
-"""Endpoint selection: a few candidates are sampled by capacity, and the best ranked one gets the attempt."""
+"""Endpoint selection: a few endpoints are sampled by capacity, and the best ranked one gets the attempt."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
         self._slow_start = slow_start
         self._zone = settings.zone
         self._cross_zone_attempts = CROSS_ZONE_ATTEMPTS * settings.cross_zone_price
-        # The queue assumed at a warmed-up endpoint of mean capacity that has not reported lately.
+        # The queue assumed at a warmed-up endpoint of mean capacity without a fresh load report.
         self._assumed_queue = 0.0
 
     def select(
@@ -52,9 +52,9 @@
         capacities = [current_capacity(now_ms, endpoint) for endpoint in candidates]
         sampled, sampled_capacity = candidates, 0.0
         if len(candidates) > SAMPLED_ENDPOINTS:
-            # Guard: all replicas that ranked a whole large pool by the same outdated load reports selected
-            # the same endpoint. Each ranks a random sample only. Trade-off: the best endpoint is often not in
-            # the sample.
+            # If all replicas rank all endpoints of a large pool by the same outdated load reports, they
+            # select the same one. Each ranks a random sample only. Trade-off: the best endpoint is often not
+            # in the sample.
             sampled = list(dict.fromkeys(self._random.choices(candidates, capacities, k=SAMPLED_ENDPOINTS)))
             sampled_capacity = sum(capacities)
         eligible = self._slow_start.draw_eligible(now_ms, sampled, sampled_capacity, weight)
@@ -63,10 +63,10 @@
         return min(eligible, key=lambda endpoint: self._rank(now_ms, endpoint, service_class), default=None)
 
     def update_assumed_queue(self, now_ms: float, reporting: list[TrackedEndpoint]) -> None:
-        """Assume the mean queue of the endpoints that have reported lately at the others, by capacity."""
-        # Guard: when the assumed queue ignored capacity, the smallest endpoints of a sample looked least
-        # loaded. In large pools, where most endpoints have not reported, they got several times their share
-        # and were saturated while large ones were idle. The assumed queue is per capacity.
+        """Set the queue assumed at endpoints without a fresh load report: the mean of those that have one."""
+        # Without regard to capacity, the rank favours the smallest endpoints of a sample. In large pools,
+        # where most endpoints have no fresh report, they get several times their share and are saturated
+        # while large ones are idle. The assumed queue is therefore proportional to capacity.
         capacity = sum([self._slow_start.current_capacity(now_ms, endpoint) for endpoint in reporting])
         if not capacity:
             self._assumed_queue = 0.0
@@ -77,24 +77,24 @@
         self._assumed_queue = reported_queue / capacity * mean_full_capacity
 
     def _rank(self, now_ms: float, endpoint: TrackedEndpoint, service_class: str) -> float:
-        """Expected latency times the queue position, over the success ratio; the lowest rank is the best."""
-        position = endpoint.in_flight + self._expected_queue(now_ms, endpoint) + 1.0
-        position += 0.0 if endpoint.listed.zone == self._zone else self._cross_zone_attempts
-        cost = self._expected_latency(now_ms, endpoint) * position
+        """Expected latency times queue position, over the success factor; the lowest rank is the best."""
+        queue_position = endpoint.in_flight + self._expected_queue(now_ms, endpoint) + 1.0
+        queue_position += 0.0 if endpoint.listed.zone == self._zone else self._cross_zone_attempts
+        cost = self._expected_latency(now_ms, endpoint) * queue_position
         cost /= self._success_factor(now_ms, endpoint, service_class)
         return cost * (1.0 + RANK_JITTER * (self._random.random() - 0.5))
 
     def _expected_latency(self, now_ms: float, endpoint: TrackedEndpoint) -> float:
-        """Latency over the mean of the class; without new measurements it decays to the mean, which is 1."""
+        """Latency over the mean of its class; without new measurements, it decays to the mean, which is 1."""
         expected = 1.0
         if endpoint.relative_latency is not None:
             decay = math.exp((endpoint.measured_ms - now_ms) / LATENCY_DECAY_MS)
             expected += (endpoint.relative_latency - 1.0) * decay
         if endpoint.outstanding:
-            # Guard: an endpoint that accepts attempts and never responds kept its good rank until the first
-            # time-outs. The age of its oldest outstanding attempt counts as its latency if nothing was
-            # measured since. Trade-off: one slow attempt lowers the rank of an endpoint without other
-            # traffic.
+            # An endpoint that accepts attempts and never responds would keep its good rank until the first
+            # time-outs. The age of its oldest outstanding attempt counts as its latency if none has been
+            # measured since that attempt. Trade-off: one slow attempt gives an endpoint without other
+            # traffic a worse rank.
             oldest = next(iter(endpoint.outstanding))
             if endpoint.measured_ms <= oldest.sent_ms:
                 mean_ms = self._class_latency.mean_ms(oldest.service_class)
@@ -102,7 +102,7 @@
         return expected
 
     def _expected_queue(self, now_ms: float, endpoint: TrackedEndpoint) -> float:
-        """The reported queue, which decays with the age of the report to the assumed one."""
+        """The reported queue, which decays to the assumed queue with the age of the report."""
         current_capacity = self._slow_start.current_capacity(now_ms, endpoint)
         assumed = self._assumed_queue * current_capacity / endpoint.full_capacity
         decay = math.exp((endpoint.reported_ms - now_ms) / QUEUE_REPORT_DECAY_MS)
@@ -111,9 +111,10 @@
     def _success_factor(self, now_ms: float, endpoint: TrackedEndpoint, service_class: str) -> float:
         """A power of the success ratio of a service class at an endpoint.
 
-        Guard: new endpoints failed nine in ten attempts of one class at once and served the other classes.
-        With one ratio for all classes they continued to get attempts of that class, which must not be
-        repeated. Each class has its ratio. Trade-off: each class has to meet a fault that all of them share.
+        New endpoints can fail nine in ten attempts of one class at once, and serve the other classes. With
+        one ratio for all classes, they continue to get attempts of that class, which must not be repeated.
+        Each class therefore has its own ratio. Trade-off: a fault that affects all classes lowers the ratio
+        of each class only after failures of that class.
         """
         failures = endpoint.failure_ratios.get(service_class)
         if failures is None:
--- a/loadbalancer/policy/tracked_endpoint.py
+++ b/loadbalancer/policy/tracked_endpoint.py
@@ -16,10 +16,11 @@
     Attributes are read by other modules and written by this class only.
 
     Attributes:
-        listed: its entry in the endpoint list.
+        listed: the entry of the process in the endpoint list.
         full_capacity: its capacity once warmed up, relative to the other endpoints.
-        in_flight: weight of this proxy's attempts in flight, including abandoned ones that may still run.
-        outstanding: attempts whose outcome is due, oldest first; an ordered set.
+        in_flight: weight of this proxy's attempts in flight, including abandoned ones that may still be
+            executed.
+        outstanding: attempts whose outcome is pending, oldest first; an ordered set.
         abandoned: attempts that were stopped, oldest first.
         relative_latency: smoothed latency over the mean of the service class; None before the first
             measurement.
@@ -75,10 +76,10 @@
         attempt.result = result
         self.outstanding.pop(attempt, None)
         if result is AttemptResult.TIMEOUT or result is AttemptResult.CANCELLED:
-            # Guard: an endpoint continues to execute attempts that this proxy stopped. When clients
-            # disconnected early, endpoints that counted as half empty were congested until they became
-            # slow. A stopped attempt therefore stays in flight for the usual latency of its class. Trade-off:
-            # an endpoint that does stop at once looks loaded for that time.
+            # An endpoint can continue to execute attempts that this proxy stopped. When clients disconnect
+            # early, endpoints that count as half empty are otherwise congested until they become slow. A
+            # stopped attempt therefore counts as in flight for the mean latency of its class. Trade-off: the
+            # count is too high for that time at an endpoint that stops at once.
             self.abandoned.append(AbandonedAttempt(expected_end_ms, attempt.weight))
         else:
             self.in_flight = max(0.0, self.in_flight - attempt.weight)
@@ -96,7 +97,7 @@
         ratio.observe(now_ms, result)
 
     def observe_latency(self, now_ms: float, relative_latency: float) -> None:
-        """Update the smoothed latency with that of an attempt over the mean of its class."""
+        """Update the smoothed latency with an attempt's latency over the mean of its class."""
         if self.relative_latency is None:
             self.relative_latency = relative_latency
         else:
