--- a/loadbalancer/policy/admission.py
+++ b/loadbalancer/policy/admission.py
@@ -4,7 +4,8 @@
 table holds for the cursor's position and the request's priority; with less than 1 left to the threshold, it
 is admitted with that probability. Once per period, the cursor moves by at most one position: to the right,
 where thresholds are lower, if the load of the pool is over its target, and else back to the left. Thresholds
-fall faster for lower priorities, so that these are rejected first.
+fall faster for lower priorities, so that these are rejected first. All thresholds are in proportion to the
+full threshold, which follows from the rate at which the pool completes attempts.
 """
 
 from __future__ import annotations
--- a/loadbalancer/policy/discovery_backoff.py
+++ b/loadbalancer/policy/discovery_backoff.py
@@ -10,12 +10,12 @@
 
 
 class DiscoveryBackoff:
-    """Exponential backoff with jitter, after which a watch request starts within the watch cycle."""
+    """Exponential backoff with jitter between watch requests, limited to the watch cycle."""
 
     def __init__(self, random: Random, now_ms: float) -> None:
         self._random = random
         self._consecutive_failures = 0
-        self._request_started_ms = now_ms  # start of the latest watch request
+        self._request_started_ms = now_ms  # start of the latest watch request; its end, once it has ended
 
     def start_request(self, now_ms: float) -> None:
         """Record that a watch request starts."""
--- a/loadbalancer/policy/load_signals.py
+++ b/loadbalancer/policy/load_signals.py
@@ -1,6 +1,6 @@
 """The four signals of the pool's load: latency, utilisation, requests in flight and rejections.
 
-Each signal is a ratio to its target: 1 is at the target, and 0 means that there is nothing to measure it by.
+Each signal is a ratio to its target: 1 is at the target, and 0 means that there is no measurement.
 """
 
 from __future__ import annotations
@@ -38,9 +38,8 @@
     def observe(self, result: AttemptResult) -> None:
         """Count the result of an attempt."""
         self._outcomes += 1
-        # When a tier below rejects requests, the entry tier receives errors only. Errors count as rejections
-        # there, since it would otherwise continue to send at the same rate. Trade-off: faulty endpoints count
-        # as overloaded.
+        # When a tier below rejects requests, the entry tier receives errors only, and would continue to send.
+        # Errors therefore count as rejections there. Trade-off: faulty endpoints count as overloaded.
         if result is AttemptResult.REJECTED or (result is AttemptResult.ERROR and self._is_entry_tier):
             self._rejected += 1
 
@@ -114,9 +113,9 @@
 def _target_headroom_fraction(endpoints: EndpointSet, utilisation: float | None, replicas: int) -> float:
     """The target of latency, as a fraction of the latency headroom above the baseline.
 
-    With few outcomes, a strict target sheds load that endpoints have capacity for; a loose one does not
-    prevent that congested endpoints become slow. The target is strict only while endpoints may be congested.
-    The other replicas are assumed to have as many attempts in flight as this one.
+    With few outcomes, a strict target sheds load that endpoints have capacity for; a loose one lets
+    congested endpoints become slow. The target is strict only while endpoints may be congested. The other
+    replicas are assumed to have as many attempts in flight as this one.
     """
     if utilisation is not None:
         return UTILISATION_TARGET_HEADROOM_FRACTION
--- a/loadbalancer/policy/policy.py
+++ b/loadbalancer/policy/policy.py
@@ -1,11 +1,12 @@
 """The policy: takes the events of loadbalancer/events.py and returns the actions of loadbalancer/actions.py.
 
 On arrival, a request is admitted if the proxy's attempts in flight are below the threshold for its priority,
-and rejected otherwise; once per period, the thresholds are lowered if the load of the pool is over its
-target, and raised if it is not (admission.py). Each attempt for an admitted request is sent to the best
-ranked of three endpoints, sampled at random in proportion to their capacity (selection.py), of which one that
-is warming up gets a limited share of the attempts (slow_start.py). If an attempt fails, the request is
-retried at another endpoint only if a second execution is impossible or harmless (retry_rules.py).
+and rejected otherwise; once per period, the thresholds are lowered by at most one step if the load of the
+pool is over its target, and raised by one step if it is not (admission.py). Each attempt for an admitted
+request is sent to the best ranked of up to three endpoints, which are sampled at random by capacity
+(selection.py); an endpoint that is warming up gets a limited share of the attempts (slow_start.py). If an
+attempt fails, the request is retried at another endpoint only if a second execution is impossible or harmless
+(retry_rules.py).
 
 The policy does no I/O: `LoadBalancingPolicy.handle(now_ms, event)` depends on the settings, the seed and the
 events so far with their times, and on nothing else.
--- a/loadbalancer/policy/request_tracker.py
+++ b/loadbalancer/policy/request_tracker.py
@@ -1,5 +1,8 @@
 """Tracks open requests from their arrival to their one final response.
 
+A request passes admission control once, on arrival. Its retries are limited by the rules of retries, the
+maximum number of attempts and the remaining time.
+
 Methods return the actions for the host to carry out, in order.
 """
 
@@ -155,7 +158,7 @@
         ]
 
     def _weigh_request(self, cost_hint_ms: float | None) -> float:
-        """Update the mean cost; return the request's cost over it, or 1 without a cost or weights by cost."""
+        """Update the mean cost and return the weight of a request: 1 unless requests are weighted by cost."""
         if not self._settings.weight_by_cost or not cost_hint_ms:
             return 1.0
         gain = CLASS_GAIN if self._mean_cost_hint_ms else 1.0
--- a/loadbalancer/policy/selection.py
+++ b/loadbalancer/policy/selection.py
@@ -1,4 +1,7 @@
-"""Endpoint selection: a few endpoints are sampled by capacity, and the best ranked one gets the attempt."""
+"""Endpoint selection: a few endpoints are sampled by capacity, and the best ranked one gets the attempt.
+
+If slow start excludes all of the sample, the best ranked of all endpoints that have warmed up gets it.
+"""
 
 from __future__ import annotations
 
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -1,8 +1,9 @@
 """Slow start: the capacity of endpoints that are warming up, and the limit on the attempts sent to them.
 
 The capacity of an endpoint rises linearly from its start until it has warmed up. Its share of all attempts is
-its capacity over that of the pool, and it fails if it gets more than the overload factor times this share. A
-random draw per attempt holds all replicas together to a part of that multiple, without messages between them.
+its current capacity over that of the pool; an endpoint that gets more than the overload factor times its
+share fails. A random draw per attempt limits all replicas together to a fraction of that, without any
+coordination between them.
 """
 
 from __future__ import annotations
@@ -76,7 +77,7 @@
         pool_capacity, min_capacity = self._pool_capacities(now_ms)
         if pool_capacity >= min_capacity or self._usual_rate <= 0.0:
             # The shares of all endpoints add up to all attempts, which overload a pool that is mostly warming
-            # up. The capacity is at least the minimum here. Trade-off: some capacity of the pool is unused.
+            # up. The capacity counts as at least the minimum. Trade-off: the pool may get too few attempts.
             pool_capacity = max(pool_capacity, min_capacity)
         else:
             # Over the usual rate, fewer tokens give a larger pool capacity, so smaller shares.
@@ -116,7 +117,7 @@
         self._refilled_ms = now_ms
 
     def _take_attempt_tokens(self, now_ms: float, weight: float) -> float:
-        """Take up to `weight` tokens from the bucket, which holds one overload window; returns the number.
+        """Take up to `weight` tokens from the bucket, which holds those of one overload window; returns the number.
 
         While most endpoints are warming up, clients that retry at once after each rejection cause a new draw
         for each retry, and warming endpoints get several times the attempts that they have capacity for.
