--- a/loadbalancer/policy/parameters.py
+++ b/loadbalancer/policy/parameters.py
@@ -56,7 +56,7 @@
 TARGET_HEADROOM_FRACTION = 0.3
 # Fraction of the latency headroom. The target while endpoints may be congested.
 CONGESTED_TARGET_HEADROOM_FRACTION = 0.11
-# Fraction of the latency headroom. The target if utilisation is reported; latency then reflects the tiers below.
+# Fraction of the latency headroom. The target with reported utilisation; latency then reflects lower tiers.
 UTILISATION_TARGET_HEADROOM_FRACTION = 0.35
 # Weight in flight per endpoint, all replicas together. From here on, endpoints may be congested.
 CONGESTION_IN_FLIGHT_PER_ENDPOINT = 5.0
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -117,7 +117,7 @@
         self._refilled_ms = now_ms
 
     def _take_attempt_tokens(self, now_ms: float, weight: float) -> float:
-        """Take up to `weight` tokens from the bucket, which holds those of one overload window; returns the number.
+        """Take up to `weight` tokens and return the number; the bucket holds those of one overload window.
 
         While most endpoints are warming up, clients that retry at once after each rejection cause a new draw
         for each retry, and warming endpoints get several times the attempts that they have capacity for.
