--- a/loadbalancer/policy/parameters.py
+++ b/loadbalancer/policy/parameters.py
@@ -45,9 +45,9 @@
 STARTUP_IN_FLIGHT_PER_ENDPOINT = 7.0
 # Milliseconds. The time after the start for which the rate is not known.
 STARTUP_MS = 3000.0
-# Weight in flight per endpoint, all replicas together. The lower bound after that time.
+# Weight in flight per endpoint, all replicas together. The lower bound once the rate is known.
 MIN_IN_FLIGHT_PER_ENDPOINT = 2.0
-# Weight in flight per endpoint, all replicas together. The upper bound if endpoints report it.
+# Weight in flight per endpoint, all replicas together. The upper bound where it is in load reports.
 MAX_IN_FLIGHT_PER_ENDPOINT = 7.0
 
 # The load signal of latency.
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -2,8 +2,8 @@
 
 The capacity of an endpoint rises linearly from its start until it has warmed up. Its share of all attempts is
 its current capacity over that of the pool; an endpoint that gets more than the overload factor times its
-share fails. A random draw per attempt limits all replicas together to a fraction of that, without any
-coordination between them.
+share for an overload window fails. A random draw per attempt limits all replicas together to a fraction of
+that, without any coordination between them.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
         self._ramp_fraction = 1.0 - settings.slow_start_initial_fraction
         self._allowed_factor = OVERLOAD_FACTOR_FRACTION * settings.overload_factor
         self._window_ms = settings.overload_window_ms
-        # Weight of completed attempts per ms, smoothed; not updated while most of the pool is warming up.
+        # Weight of completed attempts per ms, long-term; not updated while most of the pool is warming up.
         self._usual_rate = 0.0
         self._usual_rate_measured_ms = 0.0
         # Token bucket for attempts while most of the pool is warming up, filled at the usual rate. An attempt
@@ -76,8 +76,8 @@
             return sampled
         pool_capacity, min_capacity = self._pool_capacities(now_ms)
         if pool_capacity >= min_capacity or self._usual_rate <= 0.0:
-            # The shares of all endpoints add up to all attempts, which overload a pool that is mostly warming
-            # up. The capacity counts as at least the minimum. Trade-off: the pool may get too few attempts.
+            # Shares add up to all attempts, which overload a pool while all of it is warming up. They assume
+            # at least the minimum capacity. Trade-off: attempts are held back that the pool has capacity for.
             pool_capacity = max(pool_capacity, min_capacity)
         else:
             # Over the usual rate, fewer tokens give a larger pool capacity, so smaller shares.
