--- a/loadbalancer/policy/request_tracker.py
+++ b/loadbalancer/policy/request_tracker.py
@@ -1,4 +1,7 @@
-"""Open requests, from their arrival to their one final response.
+"""Tracks open requests from their arrival to their one final response.
+
+A request passes admission control once, on arrival. Its retries are limited by the rules of retries, the
+maximum number of attempts and the remaining time.
 
 Methods return the actions for the host to carry out, in order.
 """
@@ -30,7 +33,7 @@
 
 
 class RequestTracker:
-    """Takes each request from its arrival, over its attempts, to its one final response."""
+    """Admits requests, starts their attempts and retries, and gives each request its one final response."""
 
     def __init__(
         self,
@@ -52,7 +55,7 @@
 
     @property
     def open_requests(self) -> Mapping[str, RequestState]:
-        """The requests whose final response or the outcome of an attempt is due, by request id."""
+        """Requests for which the final response or the outcome of an attempt is pending, by request id."""
         return self._open
 
     def receive(self, now_ms: float, request: IncomingRequest) -> list[Action]:
@@ -62,7 +65,7 @@
             KeyError: its service class is not in the settings.
         """
         service_class = self._service_classes[request.service_class]
-        state = RequestState(request, service_class, now_ms, self._learn_weight(request.cost_hint_ms))
+        state = RequestState(request, service_class, now_ms, self._weigh_request(request.cost_hint_ms))
         self._open[request.request_id] = state
         if self._admission.admit(now_ms, request, service_class):
             return self._send_or_respond(now_ms, state)
@@ -137,7 +140,7 @@
         return [Fail(request_id), *self._end(state)]
 
     def _end(self, state: RequestState) -> list[Action]:
-        """End a request whose final response is no longer due; forget it once no attempt is in flight."""
+        """End a request that needs no final response any more; remove it once no attempt is in flight."""
         was_done, state.done = state.done, True
         if not state.has_attempt_in_flight():
             self._open.pop(state.request.request_id, None)
@@ -154,8 +157,8 @@
             if attempt.result is None and number != except_number
         ]
 
-    def _learn_weight(self, cost_hint_ms: float | None) -> float:
-        """Update the mean cost and return the weight of a request, by its cost if the settings say so."""
+    def _weigh_request(self, cost_hint_ms: float | None) -> float:
+        """Update the mean cost and return the weight of a request: 1 unless requests are weighted by cost."""
         if not self._settings.weight_by_cost or not cost_hint_ms:
             return 1.0
         gain = CLASS_GAIN if self._mean_cost_hint_ms else 1.0
