--- a/benchmarks/fleet_model.py
+++ b/benchmarks/fleet_model.py
@@ -30,10 +30,10 @@
     *("of N", "served", "rejected", "sent"),
 )
 TABLE_HEAD = f"| {' | '.join(TABLE_COLUMNS)} |\n|{' --- |' * len(TABLE_COLUMNS)}"
-CHANCE_TABLE_HEAD = "| N | share of N | by requests | by work |\n| --- | --- | --- | --- |"
-CHANCE_BUDGETS = (5.6, 14.0, 40.0)  # in requests of average work
-CHANCE_FRACTIONS = (0.3, 0.4, 0.5, 0.6, 0.85)  # of the budget
-CHANCE_WINDOWS = 40_000
+POISSON_TABLE_HEAD = "| N | share of N | by requests | by work |\n| --- | --- | --- | --- |"
+POISSON_BUDGETS = (5.6, 14.0, 40.0)  # in requests of average work
+POISSON_FRACTIONS = (0.3, 0.4, 0.5, 0.6, 0.85)  # of the budget
+POISSON_WINDOWS = 40_000
 
 
 def table_line(name: str, nodes: int, runs: Sequence[RunMetrics]) -> str:
@@ -63,7 +63,7 @@
     by_work: float
 
 
-def excess_by_chance(budget: float, fraction: float, windows: int = CHANCE_WINDOWS) -> ExcessRates:
+def poisson_excess_rates(budget: float, fraction: float, windows: int = POISSON_WINDOWS) -> ExcessRates:
     """Return the rate at which a Poisson stream exceeds a budget.
 
     Args:
@@ -87,11 +87,11 @@
     return ExcessRates(1000.0 * over_by_requests / windows, 1000.0 * over_by_work / windows)
 
 
-def print_chance_table() -> None:
+def print_poisson_table() -> None:
     """Print the rates at which chance alone exceeds budgets of several sizes."""
-    print(CHANCE_TABLE_HEAD)
-    for budget, fraction in itertools.product(CHANCE_BUDGETS, CHANCE_FRACTIONS):
-        excess = excess_by_chance(budget, fraction)
+    print(POISSON_TABLE_HEAD)
+    for budget, fraction in itertools.product(POISSON_BUDGETS, POISSON_FRACTIONS):
+        excess = poisson_excess_rates(budget, fraction)
         print(f"| {budget} | {fraction} | {excess.by_requests:.2f} | {excess.by_work:.2f} |")
 
 
@@ -126,7 +126,7 @@
     )
     options = parser.parse_args()
     if options.chance:
-        print_chance_table()
+        print_poisson_table()
         return
     if options.unpaced:
         SlowStart.admits = lambda *_: True  # type: ignore[method-assign]
--- a/benchmarks/models/fleet_records.py
+++ b/benchmarks/models/fleet_records.py
@@ -30,7 +30,7 @@
     """Connections with one idle timeout; None: a timeout that was not simulated."""
 
     opened_per_request: float | None = msgspec.field(name="opened/call")
-    opened_by_chance: float = msgspec.field(name="by chance")
+    poisson_opened_per_request: float = msgspec.field(name="by chance")
     mean_open: float | None = msgspec.field(name="held")
     max_per_node: int | None = msgspec.field(name="most/node")
     max_per_backend: int | None = msgspec.field(name="most/server")
@@ -40,7 +40,7 @@
     """The spread of the load over the backends, and the service, before the restart."""
 
     variation: float | None = msgspec.field(name="cv")
-    chance_variation: float | None = msgspec.field(name="cv by chance")
+    poisson_variation: float | None = msgspec.field(name="cv by chance")
     max_over_mean: float = msgspec.field(name="worst/mean")
     served: float | None
 
@@ -142,14 +142,14 @@
 ) -> ConnectionFigures:
     """Return the figures of one idle timeout.
 
-    `opened_by_chance` is the fraction of requests that would open a connection if each node's requests to
-    each backend arrived at random, one at a time and to all alike.
+    `poisson_opened_per_request` is the fraction of requests that would open a connection if each node sent
+    each backend a Poisson stream, one request at a time and at the same rate to all backends.
     """
     usages = [fleet.usage[timeout_s] for fleet in fleets if timeout_s in fleet.usage]
     nodes = fleets[0].scenario.nodes
     return ConnectionFigures(
         opened_per_request=_mean(usage.opened / usage.clients for usage in usages),
-        opened_by_chance=math.exp(-rate_per_s / nodes * timeout_s * IDLE_TIMEOUT_FRACTION),
+        poisson_opened_per_request=math.exp(-rate_per_s / nodes * timeout_s * IDLE_TIMEOUT_FRACTION),
         mean_open=_mean(_mean(usage.samples) for usage in usages),
         max_per_node=max((max(usage.by_node) for usage in usages), default=None),
         max_per_backend=max((max(usage.by_backend.values()) for usage in usages), default=None),
@@ -160,7 +160,7 @@
     spreads = [fleet.load_spread() for fleet in fleets]
     return ServiceFigures(
         variation=_mean(spread.variation for spread in spreads),
-        chance_variation=_mean(spread.chance_variation for spread in spreads),
+        poisson_variation=_mean(spread.poisson_variation for spread in spreads),
         max_over_mean=max(spread.max_over_mean for spread in spreads),
         served=_mean(fleet.served_before_slow_start() for fleet in fleets),
     )
--- a/benchmarks/models/pooled_fleet.py
+++ b/benchmarks/models/pooled_fleet.py
@@ -81,7 +81,7 @@
     """How evenly the backends are loaded: requests by capacity."""
 
     variation: float  # coefficient of variation
-    chance_variation: float  # that of independent draws in proportion to capacity
+    poisson_variation: float  # that of independent draws in proportion to capacity
     max_over_mean: float
 
 
@@ -129,8 +129,8 @@
         mean = sum(loads) / len(loads)
         variance = sum((load - mean) ** 2 for load in loads) / len(loads)
         expected = [total * backend.core_speed / speeds for backend in backends]
-        chance_variance = sum(1.0 / requests for requests in expected) / len(expected)
-        return LoadSpread(math.sqrt(variance) / mean, math.sqrt(chance_variance), max(loads) / mean)
+        poisson_variance = sum(1.0 / requests for requests in expected) / len(expected)
+        return LoadSpread(math.sqrt(variance) / mean, math.sqrt(poisson_variance), max(loads) / mean)
 
     def _begin_counts(self, timeout_s: float) -> None:
         usage = self.usage[timeout_s]
--- a/tests/benchmarks/test_slow_start.py
+++ b/tests/benchmarks/test_slow_start.py
@@ -20,7 +20,7 @@
 from benchmarks.models.fleet_simulation import simulate
 from loadbalancer.policy.slow_start import SlowStart
 
-OVER_BY_CHANCE_PER_MILLE = 6.0  # windows of a thousand that go over by work
+POISSON_EXCESS_PER_MILLE = 6.0  # windows of a thousand that go over by work
 
 
 def run(nodes: int, scenario_name: str, seed: int = 1) -> RunMetrics:
@@ -46,7 +46,7 @@
     runs = [cached_run(nodes, scenario_name) for scenario_name in SCENARIO_NAMES]
     over_by_work = sum(metrics.over_by_work for metrics in runs)
     windows = sum(metrics.windows for metrics in runs)
-    assert 1000.0 * over_by_work / windows <= OVER_BY_CHANCE_PER_MILLE
+    assert 1000.0 * over_by_work / windows <= POISSON_EXCESS_PER_MILLE
 
 
 def test_warming_backends_go_over_their_budget_without_pacing(monkeypatch):
@@ -54,7 +54,7 @@
     monkeypatch.setattr(SlowStart, "admits", lambda *_: True)
     metrics = run(200, "all")
     assert metrics.over_by_requests > 0
-    assert 1000.0 * metrics.over_by_work / metrics.windows > 3.0 * OVER_BY_CHANCE_PER_MILLE
+    assert 1000.0 * metrics.over_by_work / metrics.windows > 3.0 * POISSON_EXCESS_PER_MILLE
 
 
 def test_same_seed_gives_the_same_run():
