--- a/benchmarks/capacity/figures.py
+++ b/benchmarks/capacity/figures.py
@@ -240,13 +240,13 @@
         "max attempts": 4,
     }
     attempts = results.figure(MODEL, "sent/tier", fault, "chains")
-    attempts_at_fault = results.figure(MODEL, "there", fault, "chains")
+    attempts_at_faulty_tier = results.figure(MODEL, "there", fault, "chains")
     figure = partial(
         CapacityFigure, "chain of 12", unit="times", budget=None, mechanism=RETRY_BUDGET, run=MODEL
     )
     return [
         figure("attempts, all tiers, a tenth rejected", attempts),
-        figure("attempts at the tier that rejects", attempts_at_fault),
+        figure("attempts at the tier that rejects", attempts_at_faulty_tier),
     ]
 
 
--- a/benchmarks/models/chain.py
+++ b/benchmarks/models/chain.py
@@ -38,16 +38,16 @@
         self.scenario = scenario
         self.queue = EventQueue()
         self.tiers: list[TierSimulation] = []  # the top tier first
-        below: TierSimulation | None = None
+        lower_tier: TierSimulation | None = None
         for number in reversed(range(scenario.depth)):
-            below = TierSimulation(
+            lower_tier = TierSimulation(
                 scenario.tier_scenario(number),
                 SEEDS_PER_CHAIN * seed + number,
                 self.queue,
-                below=below,
+                lower_tier=lower_tier,
                 fault=scenario.fault,
             )
-            self.tiers.insert(0, below)
+            self.tiers.insert(0, lower_tier)
 
     def run(self) -> ChainMetrics:
         """Run the scenario to its end, and until the last requests have had time to finish."""
--- a/benchmarks/models/chain_records.py
+++ b/benchmarks/models/chain_records.py
@@ -25,7 +25,7 @@
     """Which tier of a chain has the fault."""
 
     LAST = "last"
-    CENTRE = "middle"
+    MIDDLE = "middle"
 
     def number(self, depth: int) -> int:
         """Return the tier's number in a chain."""
@@ -66,7 +66,7 @@
         for per_client in (False, True):
             for max_attempts in ALL_MAX_ATTEMPTS:
                 yield ChainCase(result=result, per_client=per_client, max_attempts=max_attempts)
-            yield ChainCase(FaultyTier.CENTRE, result, per_client=per_client)
+            yield ChainCase(FaultyTier.MIDDLE, result, per_client=per_client)
             yield ChainCase(result=result, per_client=per_client, all_classes=True)
 
 
@@ -80,7 +80,7 @@
     clients: int = msgspec.field(name="calls")
     attempts: float = msgspec.field(name="sent")
     attempts_per_tier: float = msgspec.field(name="sent/tier")
-    attempts_at_fault: float = msgspec.field(name="there")  # to the faulty tier
+    attempts_at_faulty_tier: float = msgspec.field(name="there")  # to the faulty tier
     attempts_at_top: float = msgspec.field(name="top")
     served: float
     rejected: float = msgspec.field(name="refused")
@@ -113,7 +113,7 @@
         clients=metrics.clients,
         attempts=sum(attempts),
         attempts_per_tier=sum(attempts) / depth,
-        attempts_at_fault=attempts[case.tier.number(depth)],
+        attempts_at_faulty_tier=attempts[case.tier.number(depth)],
         attempts_at_top=attempts[0],
         served=metrics.served_fraction,
         rejected=metrics.rejected_fraction,
--- a/benchmarks/models/chain_tier.py
+++ b/benchmarks/models/chain_tier.py
@@ -98,17 +98,18 @@
 class TierBackends(SimulatedBackends):
     """A tier's backends: own work, then one request to the tier below; they send no load reports."""
 
-    def __init__(self, context: SimulationContext, below: TierClients | None, fault: Fault) -> None:
+    def __init__(self, context: SimulationContext, lower_tier: TierClients | None, fault: Fault) -> None:
         """Create the backends.
 
         Args:
             context: The tier's shared state.
-            below: The clients of the tier below, which receives the backends' requests; None at the bottom.
+            lower_tier: The clients of the next lower tier, which send it the backends' requests; None at
+                the bottom.
             fault: The tier's fault.
         """
         super().__init__(context)
         self.late_attempts = 0  # whose own work ended after their deadline
-        self._below = below
+        self._lower_tier = lower_tier
         self._fault = fault
 
     def load_report(self, _backend: SimulatedBackend) -> LoadReport | None:
@@ -128,10 +129,10 @@
         self.late_attempts += attempt.client.counted and now_ms > attempt.deadline_ms
         if self._fault.affects(attempt.client, AttemptResult.ERROR, self.context.random.random):
             self._respond_with(attempt, FinalOutcome.FAILED)
-        elif self._below is None:
+        elif self._lower_tier is None:
             self._respond_with(attempt, FinalOutcome.SERVED)
         elif now_ms < attempt.deadline_ms:
-            self._below.submit_for_caller(attempt, lambda outcome: self._respond_with(attempt, outcome))
+            self._lower_tier.submit_for_caller(attempt, lambda outcome: self._respond_with(attempt, outcome))
 
     def _respond_with(self, attempt: SimulatedAttempt, outcome: FinalOutcome) -> None:
         succeeded = outcome is FinalOutcome.SERVED
@@ -148,7 +149,7 @@
         seed: int,
         queue: EventQueue,
         *,
-        below: TierSimulation | None,
+        lower_tier: TierSimulation | None,
         fault: Fault,
     ) -> None:
         """Prepare a tier's run.
@@ -157,12 +158,12 @@
             scenario: The tier's scenario, with its number.
             seed: Of all random draws of this tier.
             queue: The chain's event queue.
-            below: The next tier, which receives the backends' requests; None at the bottom.
+            lower_tier: The next lower tier, which receives the backends' requests; None at the bottom.
             fault: The chain's fault, which may be another tier's.
         """
         self.context = SimulationContext(scenario, queue, Random(seed))
         own_fault = fault if fault.tier == scenario.tier else NO_FAULT
-        self.backends = TierBackends(self.context, below.clients if below else None, own_fault)
+        self.backends = TierBackends(self.context, lower_tier.clients if lower_tier else None, own_fault)
         self.nodes = SimulatedNodes(self.context, self.backends)
         arrival_rate = scenario.load * self.backends.total_core_speed() / MEAN_OWN_WORK_MS
         failing_fraction = fault.fraction if fault.per_client else 0.0
--- a/tests/benchmarks/test_chain_model.py
+++ b/tests/benchmarks/test_chain_model.py
@@ -74,14 +74,14 @@
 
 def test_deadlines_are_propagated_from_tier_to_tier():
     chain = ChainSimulation(chain_scenario(3, Fault(BOTTOM, AttemptResult.REJECTED, 0.1), 2), 1)
-    top, centre, bottom = recorders = [DeadlineRecorder() for _ in chain.tiers]
+    top, middle, bottom = recorders = [DeadlineRecorder() for _ in chain.tiers]
     for tier, recorder in zip(chain.tiers, recorders, strict=True):
         tier.context.observers.append(recorder)
     chain.run()
     assert len(bottom.requests_ms) > 200
-    assert centre.requests_ms <= top.attempts_ms
-    assert bottom.requests_ms <= centre.attempts_ms
-    latest_ms = [max(tier.attempts_ms) for tier in (bottom, centre, top)]
+    assert middle.requests_ms <= top.attempts_ms
+    assert bottom.requests_ms <= middle.attempts_ms
+    latest_ms = [max(tier.attempts_ms) for tier in (bottom, middle, top)]
     assert latest_ms == sorted(latest_ms)
     assert latest_ms[-1] <= max(top.requests_ms)
 
@@ -95,7 +95,7 @@
         clients=1,
         attempts=2.0 * depth,
         attempts_per_tier=2.0,
-        attempts_at_fault=1.0,
+        attempts_at_faulty_tier=1.0,
         attempts_at_top=2.0,
         served=1.0,
         rejected=0.0,
