--- a/benchmarks/call_profile/__main__.py
+++ b/benchmarks/call_profile/__main__.py
@@ -115,7 +115,7 @@
     profile.stage_samples = Counter(counts.stages)
     profile.function_samples = Counter(counts.functions)
     profile.requests += len(result.latencies_us)
-    profile.opened += await setup.backends.accepted_connections() - accepted
+    profile.opened_connections += await setup.backends.accepted_connections() - accepted
 
 
 def report(plan: Plan, out: Path, profiles: Mapping[int, Profile]) -> None:
--- a/benchmarks/call_profile/profile.py
+++ b/benchmarks/call_profile/profile.py
@@ -21,7 +21,7 @@
 
     requests: int = 0
     cpu_s: float = 0.0
-    opened: int = 0  # connections to backends
+    opened_connections: int = 0  # connections to backends
     stage_samples: Counter[str] = field(default_factory=Counter)
     function_samples: Counter[str] = field(default_factory=Counter)
 
@@ -91,7 +91,7 @@
             requests=profile.requests,
             samples=profile.samples,
             cpu_us=profile.us_per_request(profile.samples),
-            opened_per_request=profile.opened / profile.requests,
+            opened_per_request=profile.opened_connections / profile.requests,
             load_average=os.getloadavg()[0],
         )
         for size, profile in sorted(profiles.items())
--- a/benchmarks/fleet_model.py
+++ b/benchmarks/fleet_model.py
@@ -46,7 +46,7 @@
         f"{1000.0 * sum(run.over_by_requests for run in runs) / windows:.2f}",
         f"{1000.0 * sum(run.over_by_work for run in runs) / windows:.2f}",
         f"{1000.0 * sum(run.over_before_notified for run in runs) / windows:.2f}",
-        f"{max(run.peak_fill for run in runs):.2f}",
+        f"{max(run.peak_utilization for run in runs):.2f}",
         f"{statistics.fmean(run.budget_used for run in runs):.2f}",
         f"{statistics.fmean(run.served_fraction for run in runs):.3f}",
         f"{statistics.fmean(run.rejected_fraction for run in runs):.3f}",
--- a/benchmarks/model.py
+++ b/benchmarks/model.py
@@ -32,7 +32,7 @@
 DEFAULT_SIZES = "13,100,200,300,1000"
 MIN_SIMULATED_NODES = 150  # over all runs of one size
 DEPTHS = (1, 3, 6, 12)
-SECOND_TABLE_BEGIN = "cv"  # the first column of the fleets' second table
+SECOND_TABLE_FIRST_COLUMN = "cv"  # the first column of the fleets' second table
 
 
 def fleet_records(sizes: Iterable[int], seed: int) -> list[FleetRecord]:
@@ -51,7 +51,7 @@
 def print_tables(fleets: Sequence[Row], chains: Sequence[Row]) -> None:
     """Print two tables of fleets and one of chains."""
     columns = list(fleets[0])
-    split = columns.index(SECOND_TABLE_BEGIN)
+    split = columns.index(SECOND_TABLE_FIRST_COLUMN)
     for names in (columns[:split], ["nodes", *columns[split:]]):
         shown = [{name: "-" if fleet[name] is None else fleet[name] for name in names} for fleet in fleets]
         click.echo(format_table(shown) + "\n")
--- a/benchmarks/models/backend_replacement.py
+++ b/benchmarks/models/backend_replacement.py
@@ -20,7 +20,7 @@
     def __init__(
         self, context: SimulationContext, backends: SimulatedBackends, nodes: SimulatedNodes
     ) -> None:
-        self.warming: list[SimulatedBackend] = []  # the backends in slow start
+        self.warming_backends: list[SimulatedBackend] = []  # the backends in slow start
         self._context = context
         self._backends = backends
         self._nodes = nodes
@@ -56,7 +56,7 @@
         self._bring_up(started, replaced)
 
     def _bring_up(self, started: list[SimulatedBackend], removed: Sequence[SimulatedBackend]) -> None:
-        self.warming = started
+        self.warming_backends = started
         queue = self._context.queue
         for backend in started:
             backend.up = True
--- a/benchmarks/models/fleet_entities.py
+++ b/benchmarks/models/fleet_entities.py
@@ -63,8 +63,8 @@
         """Return the current capacity as a fraction of the capacity when warmed up."""
         if self.started_ms is None:
             return 1.0
-        warming_ms = max(0.0, now_ms - self.started_ms)
-        gained = (1.0 - SLOW_START_INITIAL_FRACTION) * warming_ms / SLOW_START_MS
+        elapsed_ms = max(0.0, now_ms - self.started_ms)
+        gained = (1.0 - SLOW_START_INITIAL_FRACTION) * elapsed_ms / SLOW_START_MS
         return min(1.0, SLOW_START_INITIAL_FRACTION + gained)
 
     def speed(self, now_ms: float) -> float:
--- a/benchmarks/models/fleet_metrics.py
+++ b/benchmarks/models/fleet_metrics.py
@@ -52,7 +52,7 @@
     over_by_requests: int = 0  # windows with more requests than allowed, each counted as average work
     over_by_work: int = 0  # windows with more work than allowed
     over_before_notified: int = 0  # such windows, mostly from nodes that had not been notified
-    peak_fill: float = 0.0  # the maximum number of requests in a window, as a fraction of the allowed
+    peak_utilization: float = 0.0  # the maximum number of requests in a window, as a fraction of the allowed
     clients: int = 0
     served_fraction: float = 0.0  # of the clients, within their latency objective
     rejected_fraction: float = 0.0  # of the clients, whose last attempt was rejected
@@ -64,7 +64,7 @@
         self.windows += 1
         allowed = budget_with_tolerance(window.budget)
         if window.budget_applies:
-            self.peak_fill = max(self.peak_fill, window.requests / allowed)
+            self.peak_utilization = max(self.peak_utilization, window.requests / allowed)
             self.over_by_requests += window.requests > allowed
         if window.work > allowed:
             self.over_by_work += window.budget_applies
@@ -111,7 +111,7 @@
 
 
 def run_metrics(
-    warming: Sequence[SimulatedBackend],
+    warming_backends: Sequence[SimulatedBackend],
     clients: Sequence[SimulatedClient],
     counted_attempts: int,
     end_ms: float,
@@ -119,14 +119,14 @@
     """Return the metrics of a run.
 
     Args:
-        warming: The backends in slow start.
+        warming_backends: The backends in slow start.
         clients: All clients.
         counted_attempts: The nodes' attempts for counted clients.
         end_ms: The end of the run.
     """
     metrics = RunMetrics()
     work = budget = 0.0
-    for backend in warming:
+    for backend in warming_backends:
         for window in budget_windows(backend, end_ms):
             metrics.add_window(window)
             work, budget = work + window.work, budget + window.budget
--- a/benchmarks/models/fleet_records.py
+++ b/benchmarks/models/fleet_records.py
@@ -31,7 +31,7 @@
 
     opened_per_request: float | None = msgspec.field(name="opened/call")
     poisson_opened_per_request: float = msgspec.field(name="by chance")
-    mean_open: float | None = msgspec.field(name="held")
+    mean_open_connections: float | None = msgspec.field(name="held")
     max_per_node: int | None = msgspec.field(name="most/node")
     max_per_backend: int | None = msgspec.field(name="most/server")
 
@@ -49,7 +49,7 @@
     """The load of the restarted backends in slow start, and the service meanwhile."""
 
     windows: int = msgspec.field(name="cold windows")
-    peak_fill: float = msgspec.field(name="fullest")
+    peak_utilization: float = msgspec.field(name="fullest")
     over_by_requests: int = msgspec.field(name="crowded")
     served: float | None = msgspec.field(name="served then")
     rejected: float | None = msgspec.field(name="refused then")
@@ -150,7 +150,7 @@
     return ConnectionFigures(
         opened_per_request=_mean(usage.opened / usage.clients for usage in usages),
         poisson_opened_per_request=math.exp(-rate_per_s / nodes * timeout_s * IDLE_TIMEOUT_FRACTION),
-        mean_open=_mean(_mean(usage.samples) for usage in usages),
+        mean_open_connections=_mean(_mean(usage.samples) for usage in usages),
         max_per_node=max((max(usage.by_node) for usage in usages), default=None),
         max_per_backend=max((max(usage.by_backend.values()) for usage in usages), default=None),
     )
@@ -169,7 +169,7 @@
 def _restart_figures(metrics: Sequence[RunMetrics]) -> RestartFigures:
     return RestartFigures(
         windows=sum(run.windows for run in metrics),
-        peak_fill=max(run.peak_fill for run in metrics),
+        peak_utilization=max(run.peak_utilization for run in metrics),
         over_by_requests=sum(run.over_by_requests for run in metrics),
         served=_mean(run.served_fraction for run in metrics),
         rejected=_mean(run.rejected_fraction for run in metrics),
@@ -189,9 +189,9 @@
     for timeout_s in IDLE_TIMEOUTS_S:
         name = f"held a node {timeout_s:.0f}s"
         open_per_node = [
-            {"nodes": record.nodes, name: mean_open / record.nodes}
+            {"nodes": record.nodes, name: mean_open_connections / record.nodes}
             for record in records
-            if (mean_open := record.connections[timeout_s].mean_open) is not None
+            if (mean_open_connections := record.connections[timeout_s].mean_open_connections) is not None
         ]
         slopes[f"{name} over nodes"] = regress_columns(open_per_node, "nodes", name)
     return slopes
--- a/benchmarks/models/fleet_simulation.py
+++ b/benchmarks/models/fleet_simulation.py
@@ -34,7 +34,9 @@
         """Run the scenario to its end."""
         end_ms = self.scenario.seconds * 1000.0
         self.queue.run_until(end_ms)
-        return run_metrics(self.replacement.warming, self.clients.all, self.nodes.counted_attempts, end_ms)
+        return run_metrics(
+            self.replacement.warming_backends, self.clients.all, self.nodes.counted_attempts, end_ms
+        )
 
 
 def simulate(scenario: Scenario, seed: int) -> RunMetrics:
