--- a/benchmarks/longest_turn/__main__.py
+++ b/benchmarks/longest_turn/__main__.py
@@ -26,9 +26,9 @@
 from loadbalancer.proxy.config import Config, parse_config
 from loadbalancer.proxy.proxy import Proxy
 
-CRASH_S = 20.0
+CRASH_THRESHOLD_S = 20.0
 SETTLE_S = 0.2  # before and after an input
-SOCKETS = 4096  # file descriptors that the proxy may hold
+SOCKET_LIMIT = 4096  # file descriptors that the proxy may hold
 SERVICE_CLASSES = [
     {"name": "read", "aimMs": 2000.0, "giveUpMs": 9000.0, "effect": "free"},
     {"name": "post", "aimMs": 2000.0, "giveUpMs": 9000.0, "effect": "single_shot"},
@@ -40,21 +40,21 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.turns_s: list[float] = []
+        self.iteration_times_s: list[float] = []
 
     def _run_once(self) -> None:
         started_s = time.thread_time()
         super()._run_once()  # type: ignore[misc]
-        self.turns_s.append(time.thread_time() - started_s)
+        self.iteration_times_s.append(time.thread_time() - started_s)
 
 
 @dataclass(frozen=True, slots=True)
-class TurnTimes:
+class IterationTimes:
     """Processor time of the event loop while it processes an input."""
 
     longest_s: float
     total_s: float
-    turns: int
+    iterations: int
 
 
 def proxy_config(discovery: Address, backend_port: int, endpoints: int) -> Config:
@@ -64,7 +64,7 @@
         "listen": "127.0.0.1:0",
         "discovery": f"{discovery[0]}:{discovery[1]}",
         "seed": "7",
-        "limits": {"sockets": SOCKETS},
+        "limits": {"sockets": SOCKET_LIMIT},
         "known": {"rev": 1, "all": True, "targets": endpoint_entries(endpoints, backend_port)},
         "settings": {
             "categories": SERVICE_CLASSES,
@@ -75,18 +75,20 @@
     return parse_config(json.dumps(configuration).encode())
 
 
-async def measure(loop: TimedEventLoop, worst_input: WorstInput, backend_port: int) -> TurnTimes:
+async def measure(loop: TimedEventLoop, worst_input: WorstInput, backend_port: int) -> IterationTimes:
     """Run a proxy in this process while a thread sends it an input."""
     with socket.create_server(("127.0.0.1", 0)) as discovery:
         config = proxy_config(discovery.getsockname()[:2], backend_port, worst_input.cached_endpoints)
         proxy = Proxy(config)
         await proxy.start()
         await asyncio.sleep(SETTLE_S)
-        loop.turns_s.clear()
+        loop.iteration_times_s.clear()
         started_s = time.thread_time()
         await asyncio.to_thread(worst_input.send, proxy.listener.address, discovery)
         await asyncio.sleep(SETTLE_S)
-        times = TurnTimes(max(loop.turns_s), time.thread_time() - started_s, len(loop.turns_s))
+        times = IterationTimes(
+            max(loop.iteration_times_s), time.thread_time() - started_s, len(loop.iteration_times_s)
+        )
         proxy.close()
         await asyncio.sleep(0)  # so that its tasks end
     return times
@@ -96,12 +98,14 @@
     """Measure all inputs and print their table."""
     backend = BackendThread()
     backend.start()
-    print(f"{'worst input':52} {'turn, ms':>9} {'all, s':>7} {'turns':>7}  core for {CRASH_S:.0f} s")
+    print(
+        f"{'worst input':52} {'turn, ms':>9} {'all, s':>7} {'turns':>7}  core for {CRASH_THRESHOLD_S:.0f} s"
+    )
     for worst_input in itertools.chain(list_inputs(backend.port), flood_inputs()):
         times = await measure(loop, worst_input, backend.port)
         print(
-            f"{worst_input.name:52} {1000 * times.longest_s:9.1f} {times.total_s:7.2f} {times.turns:7}"
-            f" {times.longest_s / CRASH_S:9.5f}",
+            f"{worst_input.name:52} {1000 * times.longest_s:9.1f} {times.total_s:7.2f} {times.iterations:7}"
+            f" {times.longest_s / CRASH_THRESHOLD_S:9.5f}",
             flush=True,
         )
 
--- a/benchmarks/longest_turn/worst_inputs.py
+++ b/benchmarks/longest_turn/worst_inputs.py
@@ -29,13 +29,13 @@
 RECEIVE_BYTES = 65_536
 LARGE_PART_BYTES = 1 << 20
 SMALL_PART_BYTES = 1400  # about what a packet carries
-LIST_FILL = 0.98  # of the largest list that a proxy accepts
-LIST_GROWTH = 64  # endpoints
+MAX_LIST_FRACTION = 0.98  # of the largest list that a proxy accepts
+LIST_SIZE_STEP = 64  # endpoints
 LARGE_BODY_BYTES = 60_000_000
 CHUNKS = 10_000_000
 HEADER_LINES = 500_000
 HEADER_VALUE_BYTES = 4_000_000
-FIRST_REPLACEMENT = 5000  # the number of the first endpoint of the list that replaces another
+FIRST_REPLACEMENT_NUMBER = 5000  # the number of the first endpoint of the list that replaces another
 
 # Sends an input to the proxy's address; the proxy's watch connects to the socket.
 InputSender = Callable[[Address, socket.socket], None]
@@ -89,10 +89,10 @@
 
 def largest_list_size(port: int) -> int:
     """Return the approximate number of endpoints in the largest list that a proxy accepts."""
-    bytes_per_endpoint = len(list_response(2, endpoint_entries(LIST_GROWTH, port))) / LIST_GROWTH
+    bytes_per_endpoint = len(list_response(2, endpoint_entries(LIST_SIZE_STEP, port))) / LIST_SIZE_STEP
     size = 0
-    while bytes_per_endpoint * (size + LIST_GROWTH) < LIST_FILL * MAX_ENDPOINT_LIST_BYTES:
-        size += LIST_GROWTH
+    while bytes_per_endpoint * (size + LIST_SIZE_STEP) < MAX_LIST_FRACTION * MAX_ENDPOINT_LIST_BYTES:
+        size += LIST_SIZE_STEP
     return size
 
 
@@ -172,7 +172,7 @@
     """Yield inputs from discovery; all endpoints are at this loopback port."""
     size = largest_list_size(port)
     largest = list_response(2, endpoint_entries(size, port))
-    replacement = list_response(2, endpoint_entries(1000, port, FIRST_REPLACEMENT))
+    replacement = list_response(2, endpoint_entries(1000, port, FIRST_REPLACEMENT_NUMBER))
 
     def watch(part_bytes: int) -> InputSender:
         return lambda _, discovery: respond_to_watch(largest, part_bytes, discovery)
