--- a/benchmarks/models/chain.py
+++ b/benchmarks/models/chain.py
@@ -1,8 +1,9 @@
-"""Tiers in a chain, in model time: each is a fleet of its own, and all share one event queue.
+"""A chain of tiers in model time: each tier is a separate fleet, and all share one event queue.
 
-A request at a tier takes its backend's own work, then one request to the tier below; a rejection or failure
-there is an error here. A backend that waits for the tier below occupies no core, and propagates its caller's
-deadline. Backends send no load reports: attempts that wait for the tiers below would count as load.
+A request at a tier consists of its backend's own work, then one request to the next lower tier; if that is
+rejected or fails, the backend responds with an error. While a backend waits for the lower tier, it occupies
+no core. It propagates its caller's deadline. Backends send no load reports: attempts that wait for lower
+tiers would count as load.
 """
 
 from __future__ import annotations
@@ -15,20 +16,20 @@
 from benchmarks.models.fleet_entities import FinalOutcome
 from benchmarks.models.fleet_metrics import fraction_served_in_time
 
-DRAIN_MS = 5000.0  # after the last client
+DRAIN_MS = 5000.0  # after the last arrival, for unfinished requests
 SEEDS_PER_CHAIN = 1000
 
 
 @dataclass(frozen=True)
 class ChainMetrics:
-    """The counts of one run, per client of the top tier."""
+    """The results of one run, per client of the top tier."""
 
     clients: int
-    attempts_by_tier: list[float]  # a client, the top tier first
-    served_fraction: float  # within the class's latency objective
-    rejected_fraction: float  # by the top tier
-    late_fraction: float  # of all attempts: those whose backend finished its work after the deadline
-    shed_by_tier: list[float]  # fraction of its requests that a tier's nodes finished without an attempt
+    attempts_by_tier: list[float]  # per client, the top tier first
+    served_fraction: float  # of the clients, within their class's latency objective
+    rejected_fraction: float  # of the clients, by the top tier
+    late_fraction: float  # of all attempts: those whose backend finishes its work after the deadline
+    shed_by_tier: list[float]  # fraction of a tier's requests that its nodes finish without an attempt
 
 
 class ChainSimulation:
@@ -50,7 +51,7 @@
             self.tiers.insert(0, lower_tier)
 
     def run(self) -> ChainMetrics:
-        """Run the scenario to its end, and until the last requests have had time to finish."""
+        """Run the scenario to its end, and `DRAIN_MS` longer so that the last requests can finish."""
         self.queue.run_until(self.scenario.seconds * 1000.0 + DRAIN_MS)
         return self._metrics()
 
@@ -72,5 +73,5 @@
 
 
 def simulate_chain(scenario: ChainScenario, seed: int) -> ChainMetrics:
-    """Run a chain of tiers; the same seed gives the same metrics."""
+    """Simulate a chain of tiers; a seed determines the metrics."""
     return ChainSimulation(scenario, seed).run()
--- a/benchmarks/models/chain_records.py
+++ b/benchmarks/models/chain_records.py
@@ -22,19 +22,19 @@
 
 
 class FaultyTier(StrEnum):
-    """Which tier of a chain has the fault."""
+    """The position of the faulty tier in a chain."""
 
     LAST = "last"
     MIDDLE = "middle"
 
     def number(self, depth: int) -> int:
-        """Return the tier's number in a chain."""
+        """Return the tier's number in a chain of this depth; 0 is the top."""
         return depth - 1 if self is FaultyTier.LAST else depth // 2
 
 
 @dataclass(frozen=True, slots=True)
 class ChainCase:
-    """A kind of fault, and the limit on each node's attempts for a request."""
+    """A fault of one tier, and the limit on each node's attempts for a request."""
 
     tier: FaultyTier = FaultyTier.LAST
     result: AttemptResult = AttemptResult.ERROR
@@ -60,7 +60,7 @@
 
 
 def chain_cases() -> Iterator[ChainCase]:
-    """Yield all cases: no fault, then each result by attempt and by client."""
+    """Yield all cases: no fault, then each result with faults per attempt and per client."""
     yield ChainCase(fraction=0.0)
     for result in (AttemptResult.REJECTED, AttemptResult.ERROR):
         for per_client in (False, True):
@@ -71,7 +71,7 @@
 
 
 class ChainRecord(Record, frozen=True, kw_only=True):
-    """The figures of one case and depth; attempts are per client."""
+    """The figures of one case at one depth; attempts are per client."""
 
     fault: str = msgspec.field(name="tenth of")
     faulty_tier: str = msgspec.field(name="tier")
@@ -85,12 +85,12 @@
     served: float
     rejected: float = msgspec.field(name="refused")
     late: float
-    shed: float  # the largest fraction of its requests that one tier's nodes finished without an attempt
+    shed: float  # the largest fraction, over the tiers, of requests that finish without an attempt
     attempts_by_tier: list[float] = msgspec.field(name="by tier")
 
     @property
     def case(self) -> str:
-        """The case, which records of several depths share."""
+        """The name of the case, which is the same for all depths."""
         return f"{self.fault}; {self.faulty_tier} tier; at most {self.max_attempts}"
 
 
@@ -124,7 +124,7 @@
 
 
 def chain_slopes(records: Sequence[ChainRecord]) -> dict[str, Slope]:
-    """Return lines over the depth: attempts of all tiers, and to the faulty tier, per client."""
+    """Return lines fitted over the depth: attempts per client, of all tiers and to the faulty tier."""
     rows_by_case: dict[str, list[Row]] = {}
     for record in records:
         rows_by_case.setdefault(record.case, []).append(record.row())
--- a/benchmarks/models/chain_scenario.py
+++ b/benchmarks/models/chain_scenario.py
@@ -11,21 +11,21 @@
 
 NODES_PER_TIER = 4
 BACKENDS_PER_TIER = 4
-LOAD = 0.3  # fraction of a tier's capacity, by clients alone
-UNCOUNTED_MS = 3000.0  # at the beginning
+LOAD = 0.3  # fraction of a tier's capacity, by clients' requests without retries
+UNCOUNTED_MS = 3000.0  # warm-up: clients that arrive earlier are not counted
 
 
 @dataclass(frozen=True)
 class Fault:
-    """One tier ends a fraction of its attempts with a given result, whatever its load."""
+    """One tier ends a fraction of its attempts with a given result, independently of its load."""
 
     tier: int = 0  # 0 is the top
     result: AttemptResult = AttemptResult.ERROR
     fraction: float = 0.0  # of attempts; of clients if `per_client`
-    per_client: bool = False  # every attempt for a client fails, or none
+    per_client: bool = False  # whether all attempts for a client fail or none; else drawn for each attempt
 
     def affects(self, client: SimulatedClient, result: AttemptResult, draw: Callable[[], float]) -> bool:
-        """Return whether an attempt for a client ends with this result because of the fault."""
+        """Return whether the fault ends an attempt for a client with this result."""
         if self.result is not result or not self.fraction:
             return False
         return client.always_fails if self.per_client else draw() < self.fraction
@@ -41,7 +41,7 @@
     depth: int  # tiers
     fault: Fault
     max_attempts: int  # of each node for a request
-    seconds: float = 13.0  # in which clients arrive; those of the first three are not counted
+    seconds: float = 13.0  # in which clients arrive; those before `UNCOUNTED_MS` (3 s) are not counted
     all_classes: bool = False  # whether requests are of all classes; else all are idempotent
 
     def tier_scenario(self, number: int) -> Scenario:
--- a/benchmarks/models/chain_tier.py
+++ b/benchmarks/models/chain_tier.py
@@ -1,4 +1,4 @@
-"""One tier of a simulated chain: its clients, its backends, and their requests to the tier below."""
+"""One tier of a simulated chain: its clients, its backends, and their requests to the next lower tier."""
 
 from __future__ import annotations
 
@@ -36,12 +36,12 @@
         Args:
             context: The tier's shared state.
             nodes: The tier's nodes.
-            arrival_rate: Clients a millisecond, at the top tier.
-            failing_fraction: Of the clients, whose attempts at the faulty tier all fail.
+            arrival_rate: Clients per millisecond, at the top tier.
+            failing_fraction: Fraction of the clients whose attempts at the faulty tier all fail.
         """
         super().__init__(context, nodes, arrival_rate)
         self.counted_requests = 0
-        self.shed_requests = 0  # counted ones that got their final response without an attempt
+        self.shed_requests = 0  # counted requests that a node finishes without an attempt
         self._failing_fraction = failing_fraction
         self._end_ms = context.scenario.seconds * 1000.0
 
@@ -60,11 +60,11 @@
         self.context.queue.schedule(random.expovariate(self.arrival_rate), self.create_client)
 
     def _draw_own_work(self) -> float:
-        """Draw the own work of a request at this tier, in milliseconds of a standard core."""
+        """Draw the work of one request at this tier itself, in milliseconds of a standard core."""
         return max(MIN_WORK_MS, self.context.random.expovariate(1.0 / MEAN_OWN_WORK_MS))
 
     def submit(self, client: SimulatedClient, deadline_ms: float) -> None:
-        """Send the request of a client of the top tier, which makes no further attempt."""
+        """Send the request of a client of the top tier, which does not retry."""
         self._submit(client, deadline_ms, lambda _: None)
 
     def submit_for_caller(
@@ -73,7 +73,7 @@
         """Send a request for an attempt of the tier above, with that attempt's deadline.
 
         Args:
-            caller: The attempt that the request is made for.
+            caller: The attempt of the tier above that needs the request.
             on_completion: Called with the outcome of the final response.
         """
         client = SimulatedClient(
@@ -96,35 +96,35 @@
 
 
 class TierBackends(SimulatedBackends):
-    """A tier's backends: own work, then one request to the tier below; they send no load reports."""
+    """A tier's backends: own work, then one request to the next lower tier; they send no load reports."""
 
     def __init__(self, context: SimulationContext, lower_tier: TierClients | None, fault: Fault) -> None:
         """Create the backends.
 
         Args:
             context: The tier's shared state.
-            lower_tier: The clients of the next lower tier, which send it the backends' requests; None at
-                the bottom.
+            lower_tier: The clients of the next lower tier, which send the backends' requests; None at the
+                bottom.
             fault: The tier's fault.
         """
         super().__init__(context)
-        self.late_attempts = 0  # whose own work ended after their deadline
+        self.late_attempts = 0  # attempts whose own work ends after their deadline
         self._lower_tier = lower_tier
         self._fault = fault
 
     def load_report(self, _backend: SimulatedBackend) -> LoadReport | None:
-        """Return None: attempts that wait for the tiers below would count as load."""
+        """Return None: attempts that wait for lower tiers would count as load."""
         return None
 
     def receive(self, attempt: SimulatedAttempt) -> None:
-        """See `SimulatedBackends`; a fault may reject the attempt."""
+        """Accept an attempt as `SimulatedBackends` does, unless the fault rejects it."""
         if self._fault.affects(attempt.client, AttemptResult.REJECTED, self.context.random.random):
             self.end_after_delay(attempt, AttemptEnd(AttemptResult.REJECTED, done=False))
         else:
             super().receive(attempt)
 
     def respond(self, attempt: SimulatedAttempt) -> None:
-        """Fail by the fault, respond at the bottom, or else send a request to the tier below."""
+        """Respond with an error (fault), with success (bottom tier), or send a request to the lower tier."""
         now_ms = self.context.queue.now_ms
         self.late_attempts += attempt.client.counted and now_ms > attempt.deadline_ms
         if self._fault.affects(attempt.client, AttemptResult.ERROR, self.context.random.random):
@@ -156,10 +156,10 @@
 
         Args:
             scenario: The tier's scenario, with its number.
-            seed: Of all random draws of this tier.
+            seed: The seed of all random draws of this tier.
             queue: The chain's event queue.
             lower_tier: The next lower tier, which receives the backends' requests; None at the bottom.
-            fault: The chain's fault, which may be another tier's.
+            fault: The chain's fault, which may affect another tier.
         """
         self.context = SimulationContext(scenario, queue, Random(seed))
         own_fault = fault if fault.tier == scenario.tier else NO_FAULT
