--- a/benchmarks/models/connection_pool.py
+++ b/benchmarks/models/connection_pool.py
@@ -1,6 +1,7 @@
-"""A node's connection pool in model time: how many connections it opens and holds.
+"""A node's connection pool in model time: how many connections it opens and has open.
 
-Connections cost no time here, so one run can count several idle timeouts: each counts the same attempts.
+Opening a connection takes no model time, so the pool does not affect the attempts, and one run can count the
+connections with several idle timeouts for the same attempts.
 """
 
 from __future__ import annotations
@@ -22,11 +23,12 @@
 
         Args:
             queue: The event queue of the simulation.
-            backend_idle_timeout_s: When a backend closes an idle connection; the pool closes it earlier.
+            backend_idle_timeout_s: Idle time after which a backend closes a connection; the pool closes it
+                earlier.
         """
         self.opened = 0
         self.reused = 0
-        self.idle_since_ms: dict[str, list[float]] = {}  # by backend, an item a connection, newest last
+        self.idle_since_ms: dict[str, list[float]] = {}  # by backend, one item per connection, newest last
         self.connections: Counter[str] = Counter()  # by backend, in use and idle
         self.sweep_scheduled = False
         self._queue = queue
@@ -34,10 +36,10 @@
         self._incarnations: Counter[str] = Counter()  # of each backend
 
     def acquire(self, backend: str) -> int:
-        """Use a connection for an attempt: the newest idle one whose idle period is over, else a new one.
+        """Use the newest connection idle for at least `REUSE_DELAY_S` for an attempt, or a new connection.
 
         Returns:
-            The backend's incarnation, which `release` takes.
+            The backend's incarnation, to be passed to `release`.
         """
         idle_since_ms = self.idle_since_ms.get(backend, [])
         for index in reversed(range(len(idle_since_ms))):
@@ -54,7 +56,7 @@
         return self._incarnations[backend]
 
     def release(self, backend: str, incarnation: int, *, reusable: bool) -> None:
-        """End the use of a connection: it is idle from now on, or closed."""
+        """End the use of a connection: it becomes idle, or is closed if it is not reusable."""
         if incarnation != self._incarnations[backend]:
             return
         if not reusable:
@@ -64,7 +66,7 @@
         self._schedule_sweep()
 
     def drop_backend(self, backend: str) -> None:
-        """Lose all connections to a backend that has ended."""
+        """Drop all connections to a backend that has ended."""
         self.idle_since_ms.pop(backend, None)
         self.connections.pop(backend, None)
         self._incarnations[backend] += 1
--- a/benchmarks/models/pooled_fleet.py
+++ b/benchmarks/models/pooled_fleet.py
@@ -1,4 +1,4 @@
-"""A simulated fleet whose nodes have connection pools, and the figures counted on it."""
+"""A simulated fleet whose nodes have connection pools, and the counts of their connections."""
 
 from __future__ import annotations
 
@@ -20,30 +20,30 @@
 from loadbalancer.events import AttemptResult
 from loadbalancer.proxy.connection_pool import IDLE_TIMEOUT_FRACTION
 
-RESULTS_WITH_RESPONSE = (  # after which a connection may be used again
+RESULTS_WITH_RESPONSE = (  # after which a connection can be reused
     AttemptResult.OK,
     AttemptResult.ERROR,
     AttemptResult.REJECTED,
 )
 SAMPLE_INTERVAL_MS = 125.0
-SETTLED_MS = 3000.0  # from which the load's spread is counted
-BEFORE_START_MS = 0.01  # before the slow start, at which the counts end
-BEFORE_FIRST_SAMPLE_MS = 0.1  # before the first sample, at which the counts begin
+SETTLED_MS = 3000.0  # the start of the counts of the load's distribution
+BEFORE_START_MS = 0.01  # the counts end this long before the slow start
+BEFORE_FIRST_SAMPLE_MS = 0.1  # the counts begin this long before the first sample
 
 
 @dataclass
 class PoolUsage:
-    """Connections with one idle timeout, between two sweeps before the slow start."""
+    """Connections with one idle timeout, over one sweep interval before the slow start."""
 
     opened: int = 0
-    clients: int = 0  # that arrived in the same period
-    samples: list[int] = field(default_factory=list)  # connections of all nodes together, regularly
+    clients: int = 0  # arrivals in the same period
+    samples: list[int] = field(default_factory=list)  # connections of all nodes, at regular intervals
     by_node: list[int] = field(default_factory=list)  # connections at the end
     by_backend: Counter[str] = field(default_factory=Counter)  # connections at the end
 
 
 class ConnectionObserver(FleetObserver):
-    """Gives each node one connection pool for each idle timeout; each attempt uses a connection of all."""
+    """Gives each node a connection pool per idle timeout; each attempt uses a connection of each pool."""
 
     def __init__(self, context: SimulationContext, backend_idle_timeouts_s: Sequence[float]) -> None:
         self.pools = {
@@ -52,7 +52,7 @@
             ]
             for timeout_s in backend_idle_timeouts_s
         }
-        # By attempt: the backend's incarnation at each pool.
+        # By attempt: the backend's incarnation in each pool.
         self._incarnations: dict[SimulatedAttempt, list[int]] = {}
 
     def on_attempt_sent(self, attempt: SimulatedAttempt) -> None:
@@ -62,14 +62,14 @@
         ]
 
     def on_attempt_end(self, attempt: SimulatedAttempt, end: AttemptEnd) -> None:
-        """Release the attempt's connections, which are idle or closed from now on."""
+        """Release the attempt's connections, which become idle or are closed."""
         address, reusable = attempt.backend.address, end.result in RESULTS_WITH_RESPONSE
         incarnations = self._incarnations.pop(attempt)
         for pools, incarnation in zip(self.pools.values(), incarnations, strict=True):
             pools[attempt.node.number].release(address, incarnation, reusable=reusable)
 
     def on_backends_stopped(self, backends: Sequence[SimulatedBackend]) -> None:
-        """Lose the connections to backends that have ended."""
+        """Drop the connections to backends that have ended."""
         for pools in self.pools.values():
             for pool in pools:
                 for backend in backends:
@@ -78,29 +78,30 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadSpread:
-    """How evenly the backends are loaded: requests by capacity."""
+    """The distribution over the backends of their requests divided by their capacity."""
 
     variation: float  # coefficient of variation
-    poisson_variation: float  # that of independent draws in proportion to capacity
+    poisson_variation: float  # that of independent random choices in proportion to capacity
     max_over_mean: float
 
 
 class PooledFleetSimulation(FleetSimulation):
-    """The fleet, each node with a connection pool for each of several idle timeouts of the backends."""
+    """The fleet, each node with a connection pool for each of several idle timeouts of backends."""
 
     def __init__(self, scenario: Scenario, seed: int, backend_idle_timeouts_s: Sequence[float]) -> None:
         """Prepare a run.
 
         Args:
             scenario: The run's scenario.
-            seed: Of all random draws.
-            backend_idle_timeouts_s: When the backends close an idle connection; counted side by side.
+            seed: The seed of all random draws.
+            backend_idle_timeouts_s: Idle times after which backends close a connection; each has its own
+                counts in the same run.
         """
         super().__init__(scenario, seed)
         self.connections = ConnectionObserver(self.context, backend_idle_timeouts_s)
         self.context.observers.append(self.connections)
         self.usage = {timeout_s: PoolUsage() for timeout_s in backend_idle_timeouts_s}
-        self._settled_requests: Counter[str] = Counter()  # by backend, from SETTLED_MS to the slow start
+        self._settled_requests: Counter[str] = Counter()  # by backend, from `SETTLED_MS` to the slow start
         for timeout_s in backend_idle_timeouts_s:
             self._schedule_counts(timeout_s)
         self.queue.schedule(scenario.start_ms - BEFORE_START_MS, self._count_requests)
@@ -115,14 +116,14 @@
         self.queue.schedule(start_ms - BEFORE_START_MS, self._end_counts, timeout_s)
 
     def served_before_slow_start(self) -> float:
-        """Return the fraction of clients served in time between SETTLED_MS and the slow start."""
+        """Return the fraction of clients served in time between `SETTLED_MS` and the slow start."""
         end_ms = self.scenario.start_ms - LAST_REQUESTS_MS
         return fraction_served_in_time(
             [client for client in self.clients.all if SETTLED_MS <= client.created_ms < end_ms]
         )
 
     def load_spread(self) -> LoadSpread:
-        """Return the spread of the requests over the backends from SETTLED_MS to the slow start."""
+        """Return the distribution of the requests over the backends from `SETTLED_MS` to the slow start."""
         backends, total = self.backends.initial, self._settled_requests.total()
         speeds = sum(backend.core_speed for backend in backends)
         loads = [self._settled_requests[backend.address] / backend.core_speed for backend in backends]
