--- a/benchmarks/models/backend_replacement.py
+++ b/benchmarks/models/backend_replacement.py
@@ -1,4 +1,4 @@
-"""The change in a scenario that puts backends in slow start: their replacement or their restart."""
+"""The event of a scenario that puts backends in slow start: their replacement or their restart."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from benchmarks.models.simulation_context import SimulationContext
 from loadbalancer.events import AttemptResult, Endpoint, EndpointState, MembershipUpdate, UpdateKind
 
-DEGRADED_SLOWDOWN = 4.0
-RESTART_MS = 1000.0
+DEGRADED_SLOWDOWN = 4.0  # factor
+RESTART_MS = 1000.0  # between the stop and the start of a restarted backend
 
 
 class BackendReplacement:
@@ -26,7 +26,7 @@
         self._nodes = nodes
 
     def begin(self) -> None:
-        """Draw the backends, and replace, restart or degrade them."""
+        """Choose backends at random, and replace, restart or degrade them."""
         scenario, random = self._context.scenario, self._context.random
         initial, fraction = self._backends.initial, scenario.slow_start_fraction
         count = 0 if scenario.without_slow_start else max(1, round(fraction * scenario.servers))
--- a/benchmarks/models/fleet_backends.py
+++ b/benchmarks/models/fleet_backends.py
@@ -22,7 +22,7 @@
 
 
 class SimulatedBackends:
-    """All backends of the service, by address, and the processing of attempts that reach them."""
+    """All backends of the service, by address; processes the attempts that reach them."""
 
     def __init__(self, context: SimulationContext) -> None:
         self.context = context
@@ -33,11 +33,11 @@
         self.by_address = {backend.address: backend for backend in self.initial}
 
     def total_core_speed(self) -> float:
-        """Return the speed of all cores together, in standard cores."""
+        """Return the total speed of all cores, in standard cores."""
         return BACKEND_CORES * sum(backend.core_speed for backend in self.initial)
 
     def receive(self, attempt: SimulatedAttempt) -> None:
-        """Accept an attempt that has reached its backend: work on it, queue it or reject it."""
+        """Handle an attempt that reaches its backend: start its work, queue it or reject it."""
         backend = attempt.backend
         if not backend.up:
             self.end_after_delay(attempt, AttemptEnd(AttemptResult.CONNECT_FAILED, done=False))
@@ -69,7 +69,7 @@
         self.respond(attempt)
 
     def respond(self, attempt: SimulatedAttempt) -> None:
-        """Send the response of a backend whose own work on an attempt is done."""
+        """Send the response to an attempt on which its backend has finished its work."""
         succeeded = self.context.random.random() >= self.context.scenario.error_fraction
         result = AttemptResult.OK if succeeded else AttemptResult.ERROR
         load_report = self.load_report(attempt.backend)
@@ -80,7 +80,7 @@
         self.context.queue.schedule(NETWORK_DELAY_MS, attempt.node.end_attempt, attempt, end)
 
     def load_report(self, backend: SimulatedBackend) -> LoadReport | None:
-        """Return a backend's load report, counted at most `LOAD_REPORT_MAX_AGE_MS` ago."""
+        """Return a backend's load report, which is at most `LOAD_REPORT_MAX_AGE_MS` old."""
         now_ms = self.context.queue.now_ms
         if now_ms - backend.reported_ms > LOAD_REPORT_MAX_AGE_MS:
             backend.reported_ms = now_ms
--- a/benchmarks/models/fleet_clients.py
+++ b/benchmarks/models/fleet_clients.py
@@ -8,15 +8,15 @@
 from benchmarks.models.simulation_context import SimulationContext
 from loadbalancer.settings import Idempotency
 
-BURST_MS = 3000.0
+BURST_MS = 3000.0  # duration of the burst from `start_ms` on
 MIN_WORK_MS = 1.0
-MIN_REMAINING_MS = 1.0  # of its timeout, below which a client makes no further attempt
-ATTEMPT_TIMEOUT_FRACTION = 0.53  # of a client's timeout, that one of its attempts may take
+MIN_REMAINING_MS = 1.0  # of a client's timeout; with less left it makes no further attempt
+ATTEMPT_TIMEOUT_FRACTION = 0.53  # of a client's timeout: the limit for one of its attempts
 CLIENT_REACTION_MS = 0.5  # before a client's next attempt, in addition to its retry delay
 
 
 class SimulatedClients:
-    """The clients of a service, which arrive at random and retry requests that are not served."""
+    """The clients of a service, which arrive in a Poisson process and retry requests that are not served."""
 
     def __init__(self, context: SimulationContext, nodes: SimulatedNodes, arrival_rate: float) -> None:
         """Create an empty population.
@@ -24,7 +24,7 @@
         Args:
             context: The simulation's shared state.
             nodes: The nodes that requests are sent to.
-            arrival_rate: Clients a millisecond, outside a burst.
+            arrival_rate: Clients per millisecond, outside a burst.
         """
         self.all: list[SimulatedClient] = []  # in the order of their arrival
         self.context = context
@@ -46,7 +46,7 @@
         self.context.queue.schedule(random.expovariate(rate), self.create_client)
 
     def start_attempt(self, client: SimulatedClient) -> None:
-        """Send a client's request, for the first time or again, if the client has time left."""
+        """Send a client's request, or retry it, if enough of the client's timeout remains."""
         client.attempts += 1
         now_ms = self.context.queue.now_ms
         timeout_ms = CLASSES_BY_NAME[client.service_class].client_timeout_ms
@@ -60,12 +60,12 @@
         self.nodes.submit(client, deadline_ms, self.finish_request)
 
     def finish_request(self, request: SimulatedRequest, outcome: FinalOutcome) -> None:
-        """Receive a node's final response; schedule the client's next attempt if a retry is safe."""
+        """Handle a node's final response; schedule the client's next attempt if a retry is safe."""
         client, scenario = request.client, self.context.scenario
         client.record_outcome(outcome, self.context.queue.now_ms)
         if outcome is FinalOutcome.SERVED:
             return
-        # A failed request may have run, so only an idempotent or keyed one is attempted again.
+        # A backend may have executed a failed request, so only an idempotent or keyed one is retried.
         idempotency = CLASSES_BY_NAME[client.service_class].idempotency
         retriable = outcome is FinalOutcome.REJECTED or idempotency is not Idempotency.NON_IDEMPOTENT
         if retriable and client.attempts < scenario.client_attempts:
--- a/benchmarks/models/fleet_entities.py
+++ b/benchmarks/models/fleet_entities.py
@@ -22,7 +22,7 @@
 
 
 class FinalOutcome(Enum):
-    """How a node's final response ends a request."""
+    """The outcome of a request by its node's final response."""
 
     SERVED = "served"
     REJECTED = "rejected"
@@ -31,11 +31,11 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendArrival:
-    """An attempt that has reached a backend."""
+    """The arrival of an attempt at a backend."""
 
     at_ms: float
     work: float  # in requests of average work
-    sender_notified: bool  # whether its node had been notified of the backends in slow start
+    sender_notified: bool  # whether its node has already been notified of the backends in slow start
 
 
 @dataclass(slots=True, eq=False)
@@ -44,19 +44,19 @@
 
     address: str
     core_speed: float
-    started_ms: float | None = None  # None: warmed up before the run
+    started_ms: float | None = None  # None: already warmed up at the start of the run
     up: bool = True
-    slowdown: float = 1.0  # factor by which it is slower than its kind
+    slowdown: float = 1.0  # factor by which it is slower than other backends of its kind
     busy_cores: int = 0
     queue: deque[SimulatedAttempt] = field(default_factory=deque)
     incarnation: int = 0
-    reported_ms: float = -math.inf  # when it last counted its attempts in flight for a load report
+    reported_ms: float = -math.inf  # time of the last count of attempts in flight for a load report
     reported_in_flight: int = 0
     arrivals: list[BackendArrival] = field(default_factory=list)
 
     @property
     def in_flight(self) -> int:
-        """Attempts in progress or in the queue."""
+        """The number of attempts in progress or in the queue."""
         return self.busy_cores + len(self.queue)
 
     def capacity_fraction(self, now_ms: float) -> float:
@@ -76,7 +76,7 @@
     def window_capacity(self, end_ms: float) -> float:
         """Return the requests of average work that fit into the overload window that ends at `end_ms`.
 
-        The capacity is taken at the window's centre.
+        The whole window has the capacity at its midpoint, or at the backend's start if that is later.
         """
         centre_ms = max(end_ms - OVERLOAD_WINDOW_MS / 2.0, self.started_ms or 0.0)
         speed = BACKEND_CORES * self.core_speed * self.capacity_fraction(centre_ms)
@@ -103,12 +103,12 @@
     work_ms: float  # on a standard core
     attempts: int = 0
     last_outcome: FinalOutcome | None = None
-    served_ms: float = math.inf  # when it was first served
+    served_ms: float = math.inf  # time of the first response that serves the request
     counted: bool = True  # in the metrics
     always_fails: bool = False  # at the faulty tier of a chain, at every backend
 
     def served_in_time(self, latency_objective_ms: float) -> bool:
-        """Return whether the client was served within its latency objective."""
+        """Return whether the client is served within its latency objective."""
         return self.served_ms - self.created_ms <= latency_objective_ms
 
     def record_outcome(self, outcome: FinalOutcome, now_ms: float) -> None:
@@ -120,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnd:
-    """How an attempt ends."""
+    """The end of an attempt."""
 
     result: AttemptResult
     done: bool  # whether the request has its final response
@@ -129,7 +129,7 @@
 
 @dataclass(slots=True, eq=False)
 class SimulatedRequest:
-    """A client's request at a node, and the node's attempts for it."""
+    """A client's request to a node, and the node's attempts for it."""
 
     request_id: str
     client: SimulatedClient
@@ -161,16 +161,16 @@
 
     @property
     def deadline_ms(self) -> float:
-        """When the node gives the attempt up."""
+        """The time at which the attempt times out."""
         return self.sent_ms + self.timeout_ms
 
 
 class AttemptOwner(Protocol):
-    """A node as its attempts see it."""
+    """The interface of a node for its attempts."""
 
     number: int
     notified: bool  # whether it has been notified of the backends in slow start
 
     def end_attempt(self, attempt: SimulatedAttempt, end: AttemptEnd) -> None:
-        """Give an attempt's outcome to the node's policy, unless the attempt has already ended."""
+        """Pass an attempt's outcome to the node's policy, unless the attempt has already ended."""
         ...
--- a/benchmarks/models/fleet_metrics.py
+++ b/benchmarks/models/fleet_metrics.py
@@ -1,7 +1,7 @@
-"""Metrics of a simulated run: the load of backends in slow start against their budget, and the service.
+"""Metrics of a simulated run: the load of backends in slow start compared with their budget, and the service.
 
-A warming backend fails after an overload window with more than the overload factor times its current
-capacity. So each such window, of which one ends every `WINDOW_INTERVAL_MS`, has a budget.
+A backend in slow start fails when its load over an overload window exceeds the overload factor times its
+current capacity. Each such window therefore has a budget; one window ends every `WINDOW_INTERVAL_MS`.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
     WINDOW_INTERVAL_MS,
 )
 
-LAST_REQUESTS_MS = 2500.0  # before the end: later requests may be unfinished, and are not counted
-MIN_NOTIFIED_FRACTION = 2.0 / 3.0  # of a window's work: below it the nodes can't keep the budget
+LAST_REQUESTS_MS = 2500.0  # before the end: later clients may be unfinished, and are not counted
+MIN_NOTIFIED_FRACTION = 2.0 / 3.0  # of a window's work: with less, the nodes can't enforce the budget
 
 
 def budget_with_tolerance(budget: float) -> float:
-    """Return a budget with the tolerance for chance: two standard deviations, and two requests."""
+    """Return a budget plus a tolerance for random variation: two standard deviations, and two requests."""
     return budget + 2.0 * math.sqrt(budget) + 2.0
 
 
@@ -36,28 +36,28 @@
     requests: int
     work: float  # of these requests, in requests of average work
     budget: float  # in requests of average work
-    notified_fraction: float  # of the work: from nodes that had been notified of the backend's start
+    notified_fraction: float  # of the work: from nodes already notified of the backend's start
 
     @property
     def budget_applies(self) -> bool:
-        """Whether most of the work came from nodes that could keep the budget."""
+        """Whether enough of the work comes from nodes that can enforce the budget."""
         return self.notified_fraction >= MIN_NOTIFIED_FRACTION
 
 
 @dataclass
 class RunMetrics:
-    """The counts of a run, over all nodes."""
+    """The metrics of a run, over all nodes."""
 
     windows: int = 0
     over_by_requests: int = 0  # windows with more requests than allowed, each counted as average work
     over_by_work: int = 0  # windows with more work than allowed
-    over_before_notified: int = 0  # such windows, mostly from nodes that had not been notified
-    peak_utilization: float = 0.0  # the maximum number of requests in a window, as a fraction of the allowed
+    over_before_notified: int = 0  # such windows with too little of the work from notified nodes
+    peak_utilization: float = 0.0  # the maximum of a window's requests as a fraction of the allowed number
     clients: int = 0
     served_fraction: float = 0.0  # of the clients, within their latency objective
-    rejected_fraction: float = 0.0  # of the clients, whose last attempt was rejected
+    rejected_fraction: float = 0.0  # of the clients, whose last attempt is rejected
     budget_used: float = 0.0  # the work of backends in slow start as a fraction of their budgets
-    attempts_per_client: float = 0.0  # of the nodes
+    attempts_per_client: float = 0.0  # sent by the nodes
 
     def add_window(self, window: BudgetWindow) -> None:
         """Count one window."""
@@ -71,7 +71,7 @@
             self.over_before_notified += not window.budget_applies
 
     def add_service(self, clients: Sequence[SimulatedClient]) -> None:
-        """Add the service of clients whose requests have all finished."""
+        """Add the outcomes of clients whose requests have all finished."""
         rejected = sum(
             client.served_ms == math.inf and client.last_outcome is FinalOutcome.REJECTED
             for client in clients
@@ -89,7 +89,7 @@
     notified_before = [
         0.0, *itertools.accumulate(arrival.work * arrival.sender_notified for arrival in arrivals)
     ]  # fmt: skip
-    # Work that arrives first can use up the budget, so the first window ends after one interval.
+    # The first arrivals can exhaust the budget, so the first counted window ends after one interval.
     window_end_ms = (backend.started_ms or 0.0) + WINDOW_INTERVAL_MS
     while window_end_ms < end_ms:
         first = bisect_right(times_ms, window_end_ms - OVERLOAD_WINDOW_MS)
@@ -102,7 +102,7 @@
 
 
 def fraction_served_in_time(clients: Sequence[SimulatedClient]) -> float:
-    """Return the fraction of clients that were served within their class's latency objective."""
+    """Return the fraction of clients that are served within their class's latency objective."""
     served = sum(
         client.served_in_time(CLASSES_BY_NAME[client.service_class].latency_objective_ms)
         for client in clients
--- a/benchmarks/models/fleet_nodes.py
+++ b/benchmarks/models/fleet_nodes.py
@@ -1,4 +1,4 @@
-"""The nodes of a simulated service: real policies whose actions are carried out in model time."""
+"""The nodes of a simulated service: real policies whose actions are executed in model time."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 )
 from loadbalancer.policy.policy import LoadBalancingPolicy
 
-INITIAL_LIST_DELAY_MS = 200.0  # within which each node gets its first list
+INITIAL_LIST_DELAY_MS = 200.0  # the longest delay of a node's first list
 
 
 class SimulatedNode:
-    """One node: events go to its policy, and the policy's actions become events of the simulation."""
+    """One node: passes events to its policy, and schedules the policy's actions on the event queue."""
 
     def __init__(
         self,
@@ -58,14 +58,14 @@
         self._policy = LoadBalancingPolicy(context.scenario.settings(), context.random.getrandbits(32), 0.0)
 
     def receive(self, request: SimulatedRequest) -> None:
-        """Give a client's request to the policy."""
+        """Pass a client's request to the policy."""
         for observer in self._context.observers:
             observer.on_request(request)
         service_class = request.client.service_class
         self.handle_event(IncomingRequest(request.request_id, service_class, request.deadline_ms))
 
     def handle_event(self, event: Event) -> None:
-        """Give an event to the policy and carry out the actions that it returns."""
+        """Pass an event to the policy and execute the actions that it returns."""
         queue = self._context.queue
         for action in self._policy.handle(queue.now_ms, event):
             match action:
@@ -96,7 +96,7 @@
             observer.on_attempt_sent(attempt)
 
     def end_attempt(self, attempt: SimulatedAttempt, end: AttemptEnd) -> None:
-        """Give an attempt's outcome to the policy, unless the attempt has already ended."""
+        """Pass an attempt's outcome to the policy, unless the attempt has already ended."""
         if not attempt.pending:
             return
         for observer in self._context.observers:
@@ -117,7 +117,7 @@
 
 
 class SimulatedNodes:
-    """All nodes of the service; each request goes to one of them, by the skew of their traffic."""
+    """All nodes of the service; each request goes to a random one, weighted by its share of the traffic."""
 
     def __init__(self, context: SimulationContext, backends: SimulatedBackends) -> None:
         self.requests: dict[str, SimulatedRequest] = {}  # by id, in the order of their arrival
@@ -133,11 +133,11 @@
 
     @property
     def counted_attempts(self) -> int:
-        """Attempts of all nodes for clients that count."""
+        """Attempts of all nodes for counted clients."""
         return sum(node.counted_attempts for node in self.nodes)
 
     def schedule_initial_lists(self) -> None:
-        """Schedule the first endpoint list of each node."""
+        """Schedule the delivery of each node's first endpoint list."""
         endpoints = tuple(backend.endpoint() for backend in self._backends.initial)
         initial_list = MembershipUpdate(UpdateKind.CACHED, endpoints)
         for node in self.nodes:
@@ -153,7 +153,7 @@
         """Send a client's request to a node.
 
         Args:
-            client: Whose request it is.
+            client: The client that sends the request.
             deadline_ms: The request's deadline, in model time.
             on_final_response: Called with the request and its outcome.
         """
--- a/benchmarks/models/fleet_records.py
+++ b/benchmarks/models/fleet_records.py
@@ -1,4 +1,4 @@
-"""Records of simulated fleets by their size, and slopes over the size."""
+"""Records of simulated fleets of several sizes, and slopes over the size."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 from loadbalancer.proxy.connection_pool import IDLE_TIMEOUT_FRACTION
 
 LOAD = 0.5  # fraction of the backends' capacity
-IDLE_TIMEOUTS_S = (15.0, 30.0)  # after which a backend closes an idle connection
-SETTLING_FACTOR = 1.35  # times the nodes' idle timeout: before that, more connections open than close
-MAX_NODES_FOR_LONG_TIMEOUT = 300  # up to which a run is long enough for the longer timeout
+IDLE_TIMEOUTS_S = (15.0, 30.0)  # after which a backend closes an idle connection; one pool for each
+SETTLING_FACTOR = 1.35  # times the nodes' idle timeout: earlier, more connections are opened than closed
+MAX_NODES_FOR_LONG_TIMEOUT = 300  # the largest fleet that is also simulated with the longer timeout
 SECONDS_AFTER_RESTART = 4.0
 RESTARTED_FRACTION = 0.1
 SLOPE_FIGURES = ("opened/call 15s", "held 15s", "opened/call 30s", "held 30s", "cv", "served", "ms/call")
 
 
 class ConnectionFigures(Record, frozen=True, kw_only=True):
-    """Connections with one idle timeout; None: a timeout that was not simulated."""
+    """Connections with one idle timeout; None if the timeout is not simulated."""
 
     opened_per_request: float | None = msgspec.field(name="opened/call")
     poisson_opened_per_request: float = msgspec.field(name="by chance")
@@ -37,16 +37,16 @@
 
 
 class ServiceFigures(Record, frozen=True, kw_only=True):
-    """The spread of the load over the backends, and the service, before the restart."""
+    """The distribution of the load over the backends, and the fraction served, before the restart."""
 
-    variation: float | None = msgspec.field(name="cv")
+    variation: float | None = msgspec.field(name="cv")  # coefficient of variation of the load
     poisson_variation: float | None = msgspec.field(name="cv by chance")
     max_over_mean: float = msgspec.field(name="worst/mean")
     served: float | None
 
 
 class RestartFigures(Record, frozen=True, kw_only=True):
-    """The load of the restarted backends in slow start, and the service meanwhile."""
+    """The load of the restarted backends, and the fractions served and rejected during their slow start."""
 
     windows: int = msgspec.field(name="cold windows")
     peak_utilization: float = msgspec.field(name="fullest")
@@ -57,19 +57,19 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetRecord:
-    """The figures of as many nodes as backends: means over the runs, and maxima."""
+    """The figures of a fleet with as many nodes as backends: means over the runs, and maxima."""
 
     nodes: int
     runs: int
     requests: int
-    rate_per_s: float  # requests to a node
+    rate_per_s: float  # requests to each node
     connections: dict[float, ConnectionFigures]  # by the backends' idle timeout, in seconds
     service: ServiceFigures
     restart: RestartFigures
     cpu_ms_per_request: float
 
     def row(self) -> dict[str, object]:
-        """Return the record under the names of the result file."""
+        """Return the figures under their names in the result file."""
         row: dict[str, object] = {
             "nodes": self.nodes,
             "runs": self.runs,
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetRuns:
-    """Several runs of as many nodes as backends, each with its own seed."""
+    """Several runs of a fleet with as many nodes as backends, each with its own seed."""
 
     fleets: list[PooledFleetSimulation]
     metrics: list[RunMetrics]
@@ -91,12 +91,12 @@
 
     @property
     def clients(self) -> int:
-        """Clients of all runs."""
+        """The number of clients in all runs."""
         return sum(len(fleet.clients.all) for fleet in self.fleets)
 
 
 def run_fleets(nodes: int, seed: int, runs: int, idle_timeouts_s: Sequence[float]) -> FleetRuns:
-    """Simulate as many nodes as backends at half the capacity; then a tenth of the backends restarts."""
+    """Simulate as many nodes as backends at half the capacity, then restart a tenth of the backends."""
     start_s = SETTLING_FACTOR * IDLE_TIMEOUT_FRACTION * max(idle_timeouts_s)
     scenario = replace(
         Scenario(nodes, nodes, load=LOAD, slow_start_fraction=RESTARTED_FRACTION, restart=True),
@@ -112,13 +112,13 @@
 def fleet_record(
     nodes: int, seed: int, runs: int, idle_timeouts_s: Sequence[float] = IDLE_TIMEOUTS_S
 ) -> FleetRecord:
-    """Simulate as many nodes as backends, and return their figures.
+    """Simulate a fleet with as many nodes as backends, and return its figures.
 
     Args:
-        nodes: How many nodes, and how many backends.
-        seed: Of the first run; the others have the following ones.
-        runs: How many runs.
-        idle_timeouts_s: Those that are simulated; the others' figures are None.
+        nodes: The number of nodes, which is also the number of backends.
+        seed: The seed of the first run; each further run has the next one.
+        runs: The number of runs.
+        idle_timeouts_s: The timeouts to simulate; the figures of the others are None.
     """
     fleet_runs = run_fleets(nodes, seed, runs, idle_timeouts_s)
     fleets = fleet_runs.fleets
@@ -142,8 +142,8 @@
 ) -> ConnectionFigures:
     """Return the figures of one idle timeout.
 
-    `poisson_opened_per_request` is the fraction of requests that would open a connection if each node sent
-    each backend a Poisson stream, one request at a time and at the same rate to all backends.
+    `poisson_opened_per_request` is the fraction of requests that open a connection if each node sends each
+    backend a Poisson stream, one request at a time and at the same rate to all backends.
     """
     usages = [fleet.usage[timeout_s] for fleet in fleets if timeout_s in fleet.usage]
     nodes = fleets[0].scenario.nodes
@@ -177,13 +177,13 @@
 
 
 def _mean(figures: Iterable[float | None]) -> float | None:
-    """Return the mean of the figures that were measured; None if there are none."""
+    """Return the mean of the figures that are not None; None if there are none."""
     measured = [figure for figure in figures if figure is not None]
     return statistics.fmean(measured) if measured else None
 
 
 def fleet_slopes(records: Sequence[FleetRecord]) -> dict[str, Slope]:
-    """Return lines over the number of nodes, which equals the number of backends."""
+    """Return lines fitted over the number of nodes, which equals the number of backends."""
     rows = [record.row() for record in records]
     slopes = {f"{name} over nodes": _regress_measured(rows, name) for name in SLOPE_FIGURES}
     for timeout_s in IDLE_TIMEOUTS_S:
--- a/benchmarks/models/fleet_scenario.py
+++ b/benchmarks/models/fleet_scenario.py
@@ -1,4 +1,4 @@
-"""The constants of the simulated fleet, its service classes, and the scenarios to simulate."""
+"""The constants of the simulated fleet, its service classes and its scenarios."""
 
 from __future__ import annotations
 
@@ -40,38 +40,38 @@
 QUEUED_PER_CORE = 16  # attempts that it accepts in addition
 CORE_SPEEDS = (2.0, 1.2, 0.8)  # by kind of backend; 1: a standard core
 CONGESTION_THRESHOLD = 24.0  # attempts in flight a core, above which a backend slows down
-CONGESTION_SLOWDOWN = 0.18  # for each multiple of the threshold above it
+CONGESTION_SLOWDOWN = 0.18  # added to the slowdown factor for each multiple of the threshold above it
 NETWORK_DELAY_MS = 0.4  # one way
 LOAD_REPORT_MAX_AGE_MS = 200.0
 
 SLOW_START_INITIAL_FRACTION = 0.12
 SLOW_START_MS = 23000.0
-OVERLOAD_FACTOR = 2.5  # of a warming backend's current capacity, above which it fails
-OVERLOAD_WINDOW_MS = 1500.0  # of such load, after which it fails
+OVERLOAD_FACTOR = 2.5  # times its current capacity: the load above which a warming backend fails
+OVERLOAD_WINDOW_MS = 1500.0  # the duration of such a load after which it fails
 WINDOW_INTERVAL_MS = 100.0  # between the ends of two counted windows
 
 
 @dataclass(frozen=True)
 class Scenario:
-    """One simulated run; the backends in slow start start at `start_ms`."""
+    """The parameters of a simulated run; the slow start of some backends begins at `start_ms`."""
 
     nodes: int = 5
     servers: int = 20
     load: float = 0.6  # fraction of the capacity of all backends when warmed up
     slow_start_fraction: float = 0.1  # of the backends
-    restart: bool = False  # the same backends come back after a second; else others replace them
+    restart: bool = False  # whether the same backends restart, after a second; else others replace them
     burst_factor: float = 1.0  # multiple of the load for a few seconds from `start_ms` on
-    traffic_sigma: float = 0.0  # skew of the nodes' traffic: sigma of a lognormal
-    client_attempts: int = 1  # that a client makes at most
+    traffic_sigma: float = 0.0  # skew of the nodes' traffic: sigma of a lognormal distribution
+    client_attempts: int = 1  # the maximum for a client
     client_retry_delay_ms: float = 0.0
     error_fraction: float = 0.001  # of attempts to which a backend responds with an error
-    degraded_fraction: float = 0.0  # of the other backends, which become slower at `start_ms`
-    # Range of the delay after which a node is notified of a change.
+    degraded_fraction: float = 0.0  # of the other backends, which slow down at `start_ms`
+    # The range of the delay of a node's notification of a change.
     notification_delay_ms: tuple[float, float] = (400.0, 2500.0)
     start_ms: float = 4000.0
     seconds: float = 12.0
-    without_slow_start: bool = False  # no backend starts: the service for comparison
-    max_attempts: int = 4  # of a node for a request
+    without_slow_start: bool = False  # whether no backend is replaced or restarted, for comparison
+    max_attempts: int = 4  # the maximum of a node for a request
     load_report_fields: tuple[str, ...] = ("eps", "inflight")
     classes: tuple[ServiceClass, ...] = CLASSES
     tier: int = 0
--- a/benchmarks/models/fleet_simulation.py
+++ b/benchmarks/models/fleet_simulation.py
@@ -1,4 +1,4 @@
-"""A seeded discrete-event simulation of a service: nodes with real policies, backends, clients."""
+"""A seeded discrete-event simulation of a service: nodes with real policies, backends and clients."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 class FleetSimulation:
-    """All nodes and backends of one service, and its clients, on one event queue."""
+    """One service: its nodes, backends and clients, on one event queue."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self.scenario = scenario
         self.queue = EventQueue()
         self.context = SimulationContext(scenario, self.queue, Random(seed))
         self.backends = SimulatedBackends(self.context)
-        self.capacity = self.backends.total_core_speed() / AVERAGE_WORK_MS  # requests a millisecond
+        self.capacity = self.backends.total_core_speed() / AVERAGE_WORK_MS  # requests per millisecond
         self.nodes = SimulatedNodes(self.context, self.backends)
         self.clients = SimulatedClients(self.context, self.nodes, self.capacity * scenario.load)
         self.replacement = BackendReplacement(self.context, self.backends, self.nodes)
@@ -40,5 +40,5 @@
 
 
 def simulate(scenario: Scenario, seed: int) -> RunMetrics:
-    """Run a scenario in model time; the same seed gives the same metrics."""
+    """Run a scenario in model time; a seed determines the metrics."""
     return FleetSimulation(scenario, seed).run()
