--- a/benchmarks/models/__init__.py
+++ b/benchmarks/models/__init__.py
@@ -1,1 +1,1 @@
-"""Simulations in model time around the real policy: a fleet, its connection pools, chains of tiers."""
+"""Simulations of the real policy in model time: a fleet, its connection pools, chains of tiers."""
--- a/benchmarks/models/event_queue.py
+++ b/benchmarks/models/event_queue.py
@@ -13,16 +13,16 @@
 class EventQueue:
     """Model time in milliseconds, and the scheduled events.
 
-    Events of one moment run in the order in which they were scheduled.
+    Events with the same time run in the order of their `schedule` calls.
     """
 
     def __init__(self) -> None:
         self.now_ms = 0.0
-        self._events: list[tuple[float, int, Callable[[], None]]] = []  # a heap by time and order
+        self._events: list[tuple[float, int, Callable[[], None]]] = []  # a heap by time, then order
         self._order = itertools.count()
 
     def schedule(self, delay_ms: float, action: Callable[[*Arguments], None], *arguments: *Arguments) -> None:
-        """Call the action with these arguments after a delay."""
+        """Schedule a call of the action with these arguments after a delay."""
         event = (self.now_ms + delay_ms, next(self._order), lambda: action(*arguments))
         heapq.heappush(self._events, event)
 
--- a/benchmarks/models/simulation_context.py
+++ b/benchmarks/models/simulation_context.py
@@ -1,4 +1,4 @@
-"""The state that all parts of one simulated service share."""
+"""The state shared by all parts of one simulated service."""
 
 from __future__ import annotations
 
@@ -17,29 +17,29 @@
 
 
 class FleetObserver:
-    """Receives what happens in a simulation; a subclass overrides the methods that it needs.
+    """Receives the events of a simulation; a subclass overrides the methods that it needs.
 
-    An observer draws nothing from the simulation's random source.
+    An observer must not draw from the simulation's random source: that would change the run's result.
     """
 
     def on_request(self, request: SimulatedRequest) -> None:
-        """Observe a request as a node receives it."""
+        """Handle the arrival of a request at a node."""
 
     def on_attempt_sent(self, attempt: SimulatedAttempt) -> None:
-        """Observe an attempt as a node sends it."""
+        """Handle the sending of an attempt by a node."""
 
     def on_attempt_end(self, attempt: SimulatedAttempt, end: AttemptEnd) -> None:
-        """Observe an attempt's end before the node's policy does; called once for each attempt."""
+        """Handle the end of an attempt, before the node's policy; called once for each attempt."""
 
     def on_backends_stopped(self, backends: Sequence[SimulatedBackend]) -> None:
-        """Observe backends that have just ended."""
+        """Handle the stop of backends."""
 
 
 @dataclass(frozen=True, slots=True)
 class SimulationContext:
     """The scenario, the event queue, the one random source and the observers of a simulated service.
 
-    All parts draw from the same random source, so the order of their draws determines a run's result.
+    All parts draw from the same random source, so a run's result depends on the order of their draws.
     """
 
     scenario: Scenario
