--- a/benchmarks/capacity/figures.py
+++ b/benchmarks/capacity/figures.py
@@ -1,6 +1,6 @@
-"""The load of each role at the target size, as figures computed from measured runs.
+"""The load of each role at the target size, as figures computed from the results of runs.
 
-A figure whose run is absent is "not measured"; one whose mechanism is not implemented yet is "missing".
+A figure without a result file is "not measured"; one whose mechanism is not implemented is "missing".
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 REGIONS = 11
 ZONES = 29
 CONTROL_MACHINES = 45
-REQUESTS_PER_S = 170.0  # of a node
+REQUESTS_PER_S = 170.0  # to each node
 CHANGES_PER_S = 7_200 / 86_400
 MEAN_SERVICE = 13  # servers
 LARGEST_SERVICE = 1_000  # servers
-ZONE_LOSS = round(NODES / ZONES)  # entries at once
-# Of a control machine, after the loss of one region.
+ZONE_LOSS = round(NODES / ZONES)  # entries removed at the same time
+# Watches of one control machine after the loss of one region.
 WATCHES = round(NODES / (CONTROL_MACHINES * (REGIONS - 1) / REGIONS))
 
 # The operators' budgets.
 ADDED_P99_BUDGET_US = 330
-LIST_SIZE_COST_BUDGET = 1.1  # times
+LIST_SIZE_COST_BUDGET = 1.1  # ratio of the cost with the largest list to that with a mean one
 CONTROL_BUDGET_CORES = 0.027
 CONTROL_BUDGET_BYTES_PER_S = 2000
 CONTROL_BUDGET_MB = 128
@@ -34,7 +34,7 @@
 PROPAGATION_BUDGET_S = 8
 PROPAGATION_BUDGET_MS = 8000
 
-DISCOVERY_SERVER = "discovery server"  # the role
+DISCOVERY_SERVER = "discovery server"  # a role
 
 # Result files.
 DATA_PATH = "datapath"
@@ -44,7 +44,7 @@
 FLEET_CHAIN = "hollow-chain-fleet"
 MODEL = "model"
 
-# Mechanisms that a figure depends on, and their files.
+# Mechanisms that figures depend on, and their files.
 EVENT_LOOP = "event loop and streams, `http/`"
 SELECTION = "ranked pick, `policy/selection.py`"
 WATCH = "watch, `watch_client.py`"
@@ -65,16 +65,16 @@
 
     role: str
     quantity: str
-    value: float | None  # None: `reason` states why
+    value: float | None  # None: see `reason`
     unit: str
     budget: float | None  # None: no budget is set
-    mechanism: str  # that the figure depends on, with its file
-    run: str  # the result file that the figure comes from
+    mechanism: str  # the mechanism that the figure depends on, and its file
+    run: str  # the result file that the figure is computed from
     reason: str = "not measured"
 
     @property
     def verdict(self) -> str:
-        """Whether the figure is within its budget."""
+        """Whether the figure is within its budget, as text for the table."""
         if self.value is None:
             return self.reason
         if self.budget is None:
@@ -95,12 +95,12 @@
 
 
 def _thousandth(value: float | None) -> float | None:
-    """Convert milliseconds to seconds, or milliseconds a second to cores."""
+    """Convert milliseconds to seconds, or milliseconds per second to cores."""
     return _ratio(value, 1000.0)
 
 
 def data_path_figures(results: ResultFiles) -> list[CapacityFigure]:
-    """Return the cost of requests to a node."""
+    """Return the cost of requests for a node."""
     mean: dict[str, float | str] = {"list": MEAN_SERVICE, "rate_per_s": REQUESTS_PER_S}
     largest: dict[str, float | str] = {"list": LARGEST_SERVICE, "rate_per_s": REQUESTS_PER_S}
     added_us = results.figure(QUIET_DATA_PATH, "round_added_p99_us", mean)
@@ -120,7 +120,7 @@
 
 
 def control_figures(results: ResultFiles) -> list[CapacityFigure]:
-    """Return the cost of following the largest list to a node."""
+    """Return the cost for a node of following the largest list."""
     largest: dict[str, float | str] = {"list": LARGEST_SERVICE, "changes_per_s": CHANGES_PER_S}
     core_slope = f"core over servers at {CHANGES_PER_S:.4g} changes a second"
     cores = results.slope_at(CONTROL, core_slope, LARGEST_SERVICE)
@@ -140,13 +140,13 @@
 
 
 def discovery_server_figures(results: ResultFiles) -> list[CapacityFigure]:
-    """Return the cost of one machine's watches to a discovery server."""
+    """Return the cost for a discovery server of one machine's watches."""
     return [*_steady_watch_figures(results), *_watch_event_figures(results)]
 
 
 def _steady_watch_figures(results: ResultFiles) -> list[CapacityFigure]:
     cores = _thousandth(results.slope_at(ONE_LIST, "calm_directory_cpu_ms_per_s", WATCHES))
-    fleet_cores = _thousandth(results.maximum(FLEET_CHAIN, "calm_zone_cpu_ms_per_s"))  # no line fits
+    fleet_cores = _thousandth(results.maximum(FLEET_CHAIN, "calm_zone_cpu_ms_per_s"))  # not linear
     memory_mib = results.slope_at(ONE_LIST, "directory_rss_mib", WATCHES)
     fleet_memory_mib = results.maximum(FLEET_CHAIN, "zone_rss_mib")
     bytes_per_s = results.slope_at(ONE_LIST, "calm_bytes_out_per_s", WATCHES)
@@ -181,7 +181,7 @@
 
 
 def propagation_figures(results: ResultFiles) -> list[CapacityFigure]:
-    """Return the time from a change's writing until it is in force at the last node."""
+    """Return the time from the write of a change until the last node has applied it."""
     change_s = _thousandth(results.maximum(FLEET_CHAIN, "calm_last_ms"))
     loss_s = _thousandth(results.maximum(FLEET_CHAIN, "burst_last_ms"))
     restart_s = _thousandth(results.maximum(FLEET_CHAIN, "restart_last_ms"))
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -1,4 +1,4 @@
-"""The table of docs/CAPACITY.md, between its two markers."""
+"""The table of docs/CAPACITY.md, which is between two markers."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class PageMarkerError(ValueError):
-    """The page has no markers around a table."""
+    """The page does not contain the two markers of the table."""
 
     def __init__(self) -> None:
-        super().__init__(f"the page has no place for the table: {TABLE_BEGIN}")
+        super().__init__(f"{PAGE.name} has no table markers: expected {TABLE_BEGIN!r} and {TABLE_END!r}")
 
 
 def render_table(results: ResultFiles) -> str:
@@ -27,10 +27,10 @@
 
 
 def replace_table(page: str, table: str) -> str:
-    """Return the page with this table between its markers.
+    """Return the page with its table replaced by this one.
 
     Raises:
-        PageMarkerError: It has no markers.
+        PageMarkerError: The page has no markers.
     """
     marked = re.compile(re.escape(TABLE_BEGIN) + r".*?" + re.escape(TABLE_END), re.DOTALL)
     if not marked.search(page):
--- a/benchmarks/capacity/result_files.py
+++ b/benchmarks/capacity/result_files.py
@@ -1,4 +1,4 @@
-"""Figures from the result files of measured runs in `benchmarks/results/`."""
+"""Figures read from the result files in `benchmarks/results/`."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     about: dict[str, object] = {}
 
     def table(self, name: str) -> list[dict[str, object]]:
-        """Return the rows of a table: the file's own rows, or a table under "about"."""
+        """Return the rows of a table: the main table, or one under "about"."""
         if name == ROWS_TABLE:
             return self.rows
         return msgspec.convert(self.about.get(name, []), list[dict[str, object]])
@@ -32,7 +32,7 @@
 
 
 class ResultFiles:
-    """The result files of a folder, by name without suffix; a figure that no run has measured is None."""
+    """The result files of a folder, by name without suffix; a figure that they lack is None."""
 
     def __init__(self, folder: Path = RESULTS_FOLDER) -> None:
         self._files = {
@@ -41,25 +41,25 @@
         }
 
     def slope_at(self, run: str, name: str, size: float) -> float | None:
-        """Return a slope's figure at a size."""
+        """Return the value of a fitted line at a size."""
         slope = self._result(run).slopes.get(name)
         return None if slope is None else slope.at(size)
 
     def maximum(self, run: str, key: str) -> float | None:
-        """Return the largest figure of a run's rows, for figures that no line fits."""
+        """Return a figure's maximum over a run's rows, for a figure that is not linear in the size."""
         figures = [_number(row.get(key)) for row in self._result(run).rows]
         return max((figure for figure in figures if figure is not None), default=None)
 
     def figure(
         self, run: str, key: str, where: Mapping[str, float | str], table: str = ROWS_TABLE
     ) -> float | None:
-        """Return a figure of the first row that matches.
+        """Return a figure of the first row that matches the conditions.
 
         Args:
-            run: The run's file.
-            key: The figure's name.
-            where: The values that the row has.
-            table: The name of the rows in the file.
+            run: The name of the result file.
+            key: The figure's column.
+            where: Columns of the row and their values.
+            table: The name of the table in the file.
         """
         for row in self._result(run).table(table):
             if all(row.get(name) == value for name, value in where.items()):
--- a/tests/benchmarks/test_capacity.py
+++ b/tests/benchmarks/test_capacity.py
@@ -1,4 +1,4 @@
-"""docs/CAPACITY.md holds the table that the result files give, and names files that are there."""
+"""docs/CAPACITY.md contains the table computed from the result files, and names only existing files."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from benchmarks.support.processes import ROOT
 
 
-def test_page_holds_the_table_that_the_result_files_give():
+def test_page_contains_the_table_computed_from_the_result_files():
     page = capacity_page.PAGE.read_text()
     assert capacity_page.replace_table(page, capacity_page.render_table(ResultFiles())) == page
 
 
-def test_page_names_runs_and_files_that_are_there():
+def test_page_names_only_existing_result_files_and_source_files():
     page = capacity_page.PAGE.read_text()
     runs = {figure.run for figure in all_figures(ResultFiles()) if figure.value is not None}
     assert runs <= {path.stem for path in RESULTS_FOLDER.glob("*.json")}
@@ -62,6 +62,6 @@
     assert CapacityFigure("r", "q", value, "u", budget, "m", "s").verdict == verdict
 
 
-def test_page_without_markers_for_the_table_is_an_error():
-    with pytest.raises(PageMarkerError, match="no place"):
+def test_page_without_table_markers_raises_an_error():
+    with pytest.raises(PageMarkerError, match="no table markers"):
         capacity_page.replace_table("# Capacity", "| table |")
