--- a/benchmarks/fleet_model.py
+++ b/benchmarks/fleet_model.py
@@ -1,8 +1,8 @@
 """Simulate backends in slow start: `python -m benchmarks.fleet_model`.
 
-The command runs the policy itself in model time, compares the load of the backends with their budget by the
-settings, and prints the tables of docs/slow-start.md. `tests/benchmarks/test_slow_start.py` runs a short
-form.
+The command runs the real policy in model time, compares the load of the backends with the budget that the
+settings allow, and prints the tables of docs/slow-start.md. `tests/benchmarks/test_slow_start.py` runs
+shorter simulations of the same scenarios.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 def table_line(name: str, nodes: int, runs: Sequence[RunMetrics]) -> str:
-    """Return one line of the table: windows over the budget per thousand, and means over the runs."""
+    """Return one line of the table: windows over budget per thousand, and means over the runs."""
     windows = sum(run.windows for run in runs)
     cells = [
         name,
@@ -57,17 +57,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ExcessRates:
-    """Windows over their budget, per thousand."""
+    """The rates of windows over their budget, per thousand."""
 
     by_requests: float
     by_work: float
 
 
 def poisson_excess_rates(budget: float, fraction: float, windows: int = POISSON_WINDOWS) -> ExcessRates:
-    """Return the rate at which a Poisson stream exceeds a budget.
+    """Return the rates at which a Poisson stream of requests exceeds a budget in a window.
 
     Args:
-        budget: The budget, in requests of average work.
+        budget: The budget of a window, in requests of average work.
         fraction: The stream's mean as a fraction of the budget.
         windows: The number of windows to draw.
     """
@@ -88,7 +88,7 @@
 
 
 def print_poisson_table() -> None:
-    """Print the rates at which chance alone exceeds budgets of several sizes."""
+    """Print the rates at which Poisson streams exceed budgets of several sizes."""
     print(POISSON_TABLE_HEAD)
     for budget, fraction in itertools.product(POISSON_BUDGETS, POISSON_FRACTIONS):
         excess = poisson_excess_rates(budget, fraction)
@@ -116,13 +116,13 @@
     parser.add_argument("--servers", type=int, default=20)
     parser.add_argument("--only", default=",".join(SCENARIOS), help="scenarios, separated by commas")
     parser.add_argument("--nodes", type=int, nargs="*", default=NODE_COUNTS)
-    parser.add_argument("--load", type=float, help="a load in place of the scenario's")
+    parser.add_argument("--load", type=float, help="the load; default: the scenario's")
     parser.add_argument(
-        "--cold", type=float, help="a fraction of backends in slow start in place of the scenario's"
+        "--cold", type=float, help="the fraction of backends in slow start; default: the scenario's"
     )
-    parser.add_argument("--unpaced", action="store_true", help="without the pacing of slow start")
+    parser.add_argument("--unpaced", action="store_true", help="disable the pacing of slow start")
     parser.add_argument(
-        "--chance", action="store_true", help="print how often chance alone exceeds the budget"
+        "--chance", action="store_true", help="print how often a Poisson stream exceeds the budget"
     )
     options = parser.parse_args()
     if options.chance:
--- a/benchmarks/model.py
+++ b/benchmarks/model.py
@@ -1,9 +1,9 @@
-"""Simulate the policy by size of the service and depth of the chain: `python -m benchmarks.model`.
+"""Simulate the policy for several sizes of a service and depths of a chain: `python -m benchmarks.model`.
 
 The first simulations are of one service with as many nodes as backends, on one list, at half the capacity:
-connections by the pool's rules, spread of load, and the restart of a tenth of the backends. The second are
-of chains of tiers in which one tier rejects or fails a tenth. The command prints tables and writes
-`benchmarks/results/model.json`; it takes about 4 minutes of a core.
+the connections of the nodes' pools, the distribution of the load, and the restart of a tenth of the backends.
+The second are of chains of tiers in which one tier rejects or fails a tenth of its attempts or clients. The
+command prints tables and writes `benchmarks/results/model.json`; it takes about 4 minutes of a core.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 
 def fleet_records(sizes: Iterable[int], seed: int) -> list[FleetRecord]:
-    """Simulate each number of nodes, in several runs if there are few nodes, and return the records."""
+    """Simulate each number of nodes, small ones in several runs, and return the records."""
     records = []
     for nodes in sizes:
         timeouts_s = IDLE_TIMEOUTS_S if nodes <= MAX_NODES_FOR_LONG_TIMEOUT else IDLE_TIMEOUTS_S[:1]
@@ -65,12 +65,12 @@
     type=parse_integers,
     default=DEFAULT_SIZES,
     metavar="N,...",
-    help="Nodes, with commas between them.",
+    help="Numbers of nodes, separated by commas.",
 )
 @click.option("--seed", default=1)
 @click.option("--out", type=click.Path(path_type=Path), default=RESULTS_FILE)
 def main(sizes: tuple[int, ...], seed: int, out: Path) -> None:
-    """Run the simulations, print their tables, write the result file."""
+    """Run the simulations, print their tables and write the result file."""
     started_s = time.process_time()
     fleets = fleet_records(sizes, seed)
     fleets_s = time.process_time() - started_s
