--- a/benchmarks/call_profile/__main__.py
+++ b/benchmarks/call_profile/__main__.py
@@ -1,7 +1,8 @@
 """Profile a request through a real proxy by stage: `python -m benchmarks.call_profile`.
 
-Proxies with lists of several sizes sample themselves while they get requests in turn. A stage's microseconds
-a request are its fraction of the samples times the processor time a request, the proxy's idle work included.
+Proxies with lists of several sizes sample themselves while they receive requests, one proxy at a time. The
+microseconds per request of a stage are its fraction of the samples times the processor time per request,
+which includes the proxy's idle work.
 """
 
 from __future__ import annotations
@@ -50,18 +51,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """The slices of a run."""
+    """The parameters of a run, which consists of slices: periods of requests to one proxy."""
 
     seconds: float = 8.0  # of requests in each slice
     rounds: int = 4  # of all sizes
-    rate: float = ORDINARY_RATE  # requests a second
+    rate: float = ORDINARY_RATE  # requests per second
     sizes: tuple[int, ...] = DEFAULT_LIST_SIZES
-    service_ms: float = 0.0  # a backend's service time of a request
+    service_ms: float = 0.0  # a backend's service time for a request
     seed: int = 7
 
 
 async def read_counts(path: Path) -> ProfileCounts:
-    """Wait for the counts that a proxy writes to a file, remove the file, and return the counts.
+    """Wait for the file to which a proxy writes its counts, remove the file, and return the counts.
 
     Raises:
         TimeoutError: The file does not exist after `START_TIMEOUT_S`.
@@ -83,7 +84,7 @@
 
 
 async def measure(plan: Plan, out: Path) -> None:
-    """Run the plan, print its tables, write its result file."""
+    """Run the plan, print its tables and write its result file."""
     profiles = {size: Profile() for size in plan.sizes}
     async with node_setup(plan.sizes, service_ms=plan.service_ms, seed=plan.seed) as setup:
         outputs = {size: setup.folder / f"profile{size}.json" for size in plan.sizes}
@@ -103,7 +104,7 @@
 
 
 async def profile_slice(plan: Plan, setup: NodeSetup, size: int, output: Path, profile: Profile) -> None:
-    """Send a slice of requests through a proxy that samples itself, and add the counts to its profile."""
+    """Send a slice of requests through a proxy that samples itself, and update its profile."""
     proxy = setup.proxies[size]
     accepted = await setup.backends.accepted_connections()
     os.kill(proxy.pid, START_SIGNAL)
@@ -111,7 +112,7 @@
     result = await setup.client.run([proxy.address], plan.rate, plan.seconds)
     profile.cpu_s += cpu_seconds(proxy.pid) - cpu_s
     os.kill(proxy.pid, STOP_SIGNAL)
-    counts = await read_counts(output)  # of all slices so far
+    counts = await read_counts(output)  # totals of all slices up to this one
     profile.stage_samples = Counter(counts.stages)
     profile.function_samples = Counter(counts.functions)
     profile.requests += len(result.latencies_us)
@@ -138,16 +139,16 @@
 
 
 @click.command()
-@click.option("--rate", default=ORDINARY_RATE, show_default=True, help="Requests a second.")
+@click.option("--rate", default=ORDINARY_RATE, show_default=True, help="Requests per second.")
 @sizes_option("13,100,400,1000")
-@click.option("--seconds", default=8.0, show_default=True, help="For each slice of requests.")
-@click.option("--rounds", default=4, show_default=True, help="Of all sizes.")
+@click.option("--seconds", default=8.0, show_default=True, help="Duration of each slice of requests.")
+@click.option("--rounds", default=4, show_default=True, help="Number of slices per list size.")
 @service_ms_option
 @seed_option
 @quick_option
 @out_option("callprofile.json")
 def main(*, quick: bool, out: Path, **plan_options: object) -> None:
-    """Profile real proxies on this machine's loopback."""
+    """Profile real proxies over this machine's loopback interface."""
     plan = make_plan(Plan, plan_options)
     plan = replace(plan, sizes=tuple(sorted(plan.sizes)))
     if quick:
--- a/benchmarks/call_profile/profile.py
+++ b/benchmarks/call_profile/profile.py
@@ -1,4 +1,4 @@
-"""The samples of a proxy that profiles itself, and the records that they give."""
+"""The profiles of proxies that sample themselves, and the records computed from them."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from benchmarks.support.open_loop import MICROSECONDS_PER_S
 from benchmarks.support.records import Record
 
-LISTED_FUNCTIONS = 12  # of each list size, those with the most samples
+LISTED_FUNCTIONS = 12  # those with the most samples, for each list size
 
 
 @dataclass(slots=True)
 class Profile:
-    """The counts of a proxy with one list size."""
+    """The counts and processor time of a proxy with one list size."""
 
     requests: int = 0
     cpu_s: float = 0.0
@@ -27,24 +27,24 @@
 
     @property
     def samples(self) -> int:
-        """All samples."""
+        """The number of all samples."""
         return self.stage_samples.total()
 
     def us_per_request(self, samples: int) -> float:
-        """Return the microseconds a request that a number of samples represents."""
+        """Return the processor time per request, in microseconds, that a number of samples represents."""
         cpu_us = self.cpu_s / max(1, self.requests) * MICROSECONDS_PER_S
         return samples / max(1, self.samples) * cpu_us
 
 
 @dataclass(frozen=True, slots=True)
 class StageRecord:
-    """The processor time of one stage, in microseconds a request."""
+    """The processor time of one stage, in microseconds per request."""
 
     stage: str
     us_by_size: dict[int, float]  # by list size, the smallest first
 
     def row(self) -> dict[str, object]:
-        """Return the record under the names of the result file."""
+        """Return the figures under their names in the result file."""
         return {"stage": self.stage} | {f"us_at_{size}": us for size, us in self.us_by_size.items()}
 
 
@@ -60,7 +60,7 @@
 
 
 class FunctionRecord(Record, frozen=True, kw_only=True):
-    """The processor time of one function, without the functions that it calls."""
+    """The processor time of one function, excluding the functions that it calls."""
 
     list_size: int = msgspec.field(name="list")
     function: str
@@ -68,7 +68,7 @@
 
 
 def stage_records(profiles: Mapping[int, Profile]) -> list[StageRecord]:
-    """Return the stages by their samples at the largest list size, the most first."""
+    """Return a record for each stage, sorted by samples at the largest list size, the most first."""
     stages = set().union(*(profile.stage_samples for profile in profiles.values()))
     largest = profiles[max(profiles)]
     return [
--- a/benchmarks/call_profile/profiled_proxy.py
+++ b/benchmarks/call_profile/profiled_proxy.py
@@ -1,10 +1,10 @@
 """A real proxy that samples itself: `python -m benchmarks.call_profile.profiled_proxy`.
 
-Its configuration is that of the proxy. SIGUSR1 starts sampling of the running function, every few
-milliseconds of processor time; SIGUSR2 stops it and writes all counts so far, a `ProfileCounts`, to the file
-that SCALE_PROFILE names. A sample counts for the stage of the proxy's innermost function on the stack, so a
-library's work for a stage counts for that stage. If the stack has no function of the proxy, the sample counts
-for the stage of the innermost library function.
+It has the same configuration as the proxy. SIGUSR1 starts sampling of the running function, every few
+milliseconds of processor time; SIGUSR2 stops it and writes the counts of all samples since the process
+started, a `ProfileCounts`, to the file that SCALE_PROFILE names. A sample counts for the stage of the proxy's
+innermost function on the stack, so a library's work for a stage counts for that stage. If the stack has no
+function of the proxy, the sample counts for the stage of the innermost library function that has one.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 from benchmarks.call_profile.stages import UNKNOWN_STAGE, Stage, stage_of_function
 from loadbalancer.__main__ import main
 
-SAMPLE_INTERVAL_S = 0.004  # of processor time; no shorter than the kernel's own tick
+SAMPLE_INTERVAL_S = 0.004  # of processor time; the kernel's timer tick allows no shorter interval
 OUTPUT_VARIABLE = "SCALE_PROFILE"  # the environment variable that names the output file
 START_SIGNAL = signal.SIGUSR1
 STOP_SIGNAL = signal.SIGUSR2
 
 
 class ProfileCounts(msgspec.Struct):
-    """Samples by stage, and by the innermost function of the stack."""
+    """The numbers of samples by stage, and by the innermost function on the stack."""
 
     stages: dict[str, int]
     functions: dict[str, int]
@@ -48,7 +48,7 @@
         signal.setitimer(signal.ITIMER_PROF, SAMPLE_INTERVAL_S, SAMPLE_INTERVAL_S)
 
     def stop(self, _signal: int, _frame: FrameType | None) -> None:
-        """Stop sampling, and write the counts atomically, so that a reader sees all of them or none."""
+        """Stop sampling, and write the counts atomically, so that no reader gets an incomplete file."""
         signal.setitimer(signal.ITIMER_PROF, 0.0)
         incomplete = self._output.with_suffix(".part")
         incomplete.write_bytes(msgspec.json.encode(ProfileCounts(self.stages, self.functions)))
@@ -79,7 +79,7 @@
 
 
 def run() -> int:
-    """Run the proxy with a sampler; return its exit code."""
+    """Run the proxy with a sampler, and return the proxy's exit code."""
     sampler = Sampler(Path(os.environ[OUTPUT_VARIABLE]))
     signal.signal(signal.SIGPROF, sampler.sample)
     signal.signal(START_SIGNAL, sampler.start)
--- a/benchmarks/call_profile/stages.py
+++ b/benchmarks/call_profile/stages.py
@@ -1,4 +1,4 @@
-"""The stages of a request, by the functions whose samples count for them."""
+"""The stages of a request, and the functions whose samples count for each."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 UNKNOWN_STAGE = "anything else"
 PROGRAM_FOLDER = "loadbalancer/"
 
-# Stages by file and function; "" is for a file's other functions.
+# Stages by file and function; the key "" is for all other functions of a file.
 STAGES: dict[str, dict[str, str]] = {
     "loadbalancer/policy/policy.py": {
         "_end_period": "policy: period",
@@ -171,11 +171,11 @@
     """The stage that a function's samples count for."""
 
     name: str
-    in_program: bool  # whether the function is one of the proxy's own
+    in_program: bool  # whether it is a function of the proxy, not of a library
 
 
 def stage_of_function(file: str, qualified_name: str) -> Stage:
-    """Return a function's stage; a nested function counts as its outermost function."""
+    """Return a function's stage; a nested function has that of its outermost function."""
     name = qualified_name.split(".<locals>")[0].rpartition(".")[2]
     for path, functions in STAGES.items():
         if file.endswith("/" + path):
