--- a/benchmarks/longest_turn/__init__.py
+++ b/benchmarks/longest_turn/__init__.py
@@ -1,1 +1,1 @@
-"""The longest turn of a proxy's event loop, under the worst input: `python -m benchmarks.longest_turn`."""
+"""The longest event loop iteration of a proxy on worst-case input: `python -m benchmarks.longest_turn`."""
--- a/benchmarks/longest_turn/__main__.py
+++ b/benchmarks/longest_turn/__main__.py
@@ -1,8 +1,9 @@
-"""Measure the longest turn of a proxy's event loop: `python -m benchmarks.longest_turn`.
+"""Measure the longest iteration of a proxy's event loop: `python -m benchmarks.longest_turn`.
 
-A proxy runs in this process, another thread sends it the worst input that the rules allow, and each turn of
-the proxy's event loop is timed by the processor time of its thread. The operators count 20 s of one thread's
-real time as a crash; the last column is the fraction of a core at which the longest turn would take 20 s.
+A proxy runs in this process, and another thread sends it the worst-case input that the rules permit. Each
+iteration of the proxy's event loop is measured in processor time of its thread. The operators count 20 s of
+one thread's real time as a crash; the last column is the fraction of a core with which the longest iteration
+would take 20 s.
 """
 
 from __future__ import annotations
@@ -27,8 +28,8 @@
 from loadbalancer.proxy.proxy import Proxy
 
 CRASH_THRESHOLD_S = 20.0
-SETTLE_S = 0.2  # before and after an input
-SOCKET_LIMIT = 4096  # file descriptors that the proxy may hold
+SETTLE_S = 0.2  # idle time before and after an input
+SOCKET_LIMIT = 4096  # file descriptors that the proxy may have open
 SERVICE_CLASSES = [
     {"name": "read", "aimMs": 2000.0, "giveUpMs": 9000.0, "effect": "free"},
     {"name": "post", "aimMs": 2000.0, "giveUpMs": 9000.0, "effect": "single_shot"},
@@ -36,7 +37,7 @@
 
 
 class TimedEventLoop(asyncio.SelectorEventLoop):
-    """Records the processor time of each turn; a wait for events costs none."""
+    """Records the processor time of each iteration; a wait for events takes none."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -50,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IterationTimes:
-    """Processor time of the event loop while it processes an input."""
+    """The processor time of the event loop while the proxy processes an input."""
 
     longest_s: float
     total_s: float
@@ -58,7 +59,7 @@
 
 
 def proxy_config(discovery: Address, backend_port: int, endpoints: int) -> Config:
-    """Return a proxy's configuration whose cached list has `endpoints` entries at one port."""
+    """Return a proxy's configuration with a cached list of `endpoints` entries, all at one port."""
     configuration = {
         "name": "n0",
         "listen": "127.0.0.1:0",
@@ -76,7 +77,7 @@
 
 
 async def measure(loop: TimedEventLoop, worst_input: WorstInput, backend_port: int) -> IterationTimes:
-    """Run a proxy in this process while a thread sends it an input."""
+    """Run a proxy in this process while another thread sends it an input."""
     with socket.create_server(("127.0.0.1", 0)) as discovery:
         config = proxy_config(discovery.getsockname()[:2], backend_port, worst_input.cached_endpoints)
         proxy = Proxy(config)
@@ -90,12 +91,12 @@
             max(loop.iteration_times_s), time.thread_time() - started_s, len(loop.iteration_times_s)
         )
         proxy.close()
-        await asyncio.sleep(0)  # so that its tasks end
+        await asyncio.sleep(0)  # lets the proxy's tasks end
     return times
 
 
 async def main(loop: TimedEventLoop) -> None:
-    """Measure all inputs and print their table."""
+    """Measure all inputs and print the table."""
     backend = BackendThread()
     backend.start()
     print(
--- a/benchmarks/longest_turn/worst_inputs.py
+++ b/benchmarks/longest_turn/worst_inputs.py
@@ -1,6 +1,6 @@
-"""The worst input that the rules allow for a proxy: endpoint lists, request floods, and their backends.
+"""Worst-case inputs that the rules permit: endpoint lists, request floods, and the backends for them.
 
-A thread other than the proxy's event loop sends each input.
+Each input is sent by a thread other than that of the proxy's event loop.
 """
 
 from __future__ import annotations
@@ -21,23 +21,23 @@
 from loadbalancer.http.message_sizes import MAX_BODY_BYTES
 
 FLOOD_S = 3.0
-MIN_READ_S = 0.1  # for which a flooding connection reads, even at the end of the flood
+MIN_READ_S = 0.1  # the least time for which a connection reads, even at the end of the flood
 PIPELINED_REQUESTS = 600
 OPEN_REQUESTS = 1000  # during the replacement of a list
-REQUEST_ADMISSION_S = 2.0  # for the proxy to admit these requests
+REQUEST_ADMISSION_S = 2.0  # time for the proxy to admit these requests
 LISTEN_BACKLOG = 2048
 RECEIVE_BYTES = 65_536
 LARGE_PART_BYTES = 1 << 20
-SMALL_PART_BYTES = 1400  # about what a packet carries
-MAX_LIST_FRACTION = 0.98  # of the largest list that a proxy accepts
-LIST_SIZE_STEP = 64  # endpoints
+SMALL_PART_BYTES = 1400  # about the payload of a packet
+MAX_LIST_FRACTION = 0.98  # of the size limit of a list
+LIST_SIZE_STEP = 64  # endpoints, in the search for the largest list
 LARGE_BODY_BYTES = 60_000_000
 CHUNKS = 10_000_000
 HEADER_LINES = 500_000
 HEADER_VALUE_BYTES = 4_000_000
 FIRST_REPLACEMENT_NUMBER = 5000  # the number of the first endpoint of the list that replaces another
 
-# Sends an input to the proxy's address; the proxy's watch connects to the socket.
+# Sends an input to the proxy's address; the socket is the listener that the proxy's watch connects to.
 InputSender = Callable[[Address, socket.socket], None]
 
 
@@ -45,21 +45,21 @@
     """An endpoint list is larger than a proxy accepts."""
 
     def __init__(self, size: int) -> None:
-        super().__init__(f"a list of {size} bytes is larger than {MAX_ENDPOINT_LIST_BYTES}")
+        super().__init__(f"endpoint list has {size} bytes, a proxy accepts at most {MAX_ENDPOINT_LIST_BYTES}")
         self.size = size
 
 
 @dataclass(frozen=True, slots=True)
 class WorstInput:
-    """One kind of input."""
+    """One worst-case input."""
 
     name: str
-    cached_endpoints: int  # in the list that the proxy starts from
+    cached_endpoints: int  # in the cached list of the proxy's configuration
     send: InputSender
 
 
 def endpoint_entries(count: int, port: int, first: int = 0) -> list[EndpointEntry]:
-    """Return ready endpoints, numbered from `first` on, all at the same loopback port."""
+    """Return ready endpoints numbered from `first`, all at the same loopback port."""
     return [
         {
             "uid": f"s{number}",
@@ -88,7 +88,7 @@
 
 
 def largest_list_size(port: int) -> int:
-    """Return the approximate number of endpoints in the largest list that a proxy accepts."""
+    """Return the approximate number of endpoints of the largest list that a proxy accepts."""
     bytes_per_endpoint = len(list_response(2, endpoint_entries(LIST_SIZE_STEP, port))) / LIST_SIZE_STEP
     size = 0
     while bytes_per_endpoint * (size + LIST_SIZE_STEP) < MAX_LIST_FRACTION * MAX_ENDPOINT_LIST_BYTES:
@@ -97,7 +97,7 @@
 
 
 class BackendThread(threading.Thread):
-    """Responds to every request with the largest body, in a thread of its own; never to requests to /hold."""
+    """A backend that responds to each request with the largest body, but never to one for /hold."""
 
     def __init__(self) -> None:
         super().__init__(daemon=True)
@@ -138,7 +138,7 @@
 
 
 def flood(address: Address, payload: Callable[[], bytes], connections: int) -> None:
-    """Send at full speed for `FLOOD_S` and read the responses; closed connections are replaced."""
+    """Send at full speed for `FLOOD_S` and read the responses; each closed connection is replaced."""
     deadline = time.monotonic() + FLOOD_S
 
     async def flood_connection() -> None:
@@ -158,7 +158,7 @@
 
 
 def respond_to_watch(response: bytes, part_bytes: int, discovery: socket.socket) -> None:
-    """Respond to the next watch in parts, and wait until it polls again, after it has applied the list."""
+    """Respond to the next watch in parts, and wait for its next poll, after it has applied the list."""
     connection, _ = discovery.accept()
     with connection, contextlib.suppress(OSError):
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -169,7 +169,7 @@
 
 
 def list_inputs(port: int) -> Iterator[WorstInput]:
-    """Yield inputs from discovery; all endpoints are at this loopback port."""
+    """Yield the inputs from discovery; all endpoints are at this loopback port."""
     size = largest_list_size(port)
     largest = list_response(2, endpoint_entries(size, port))
     replacement = list_response(2, endpoint_entries(1000, port, FIRST_REPLACEMENT_NUMBER))
@@ -194,7 +194,7 @@
 
 
 def flood_inputs() -> Iterator[WorstInput]:
-    """Yield inputs from clients."""
+    """Yield the inputs from clients."""
     numbers = itertools.count()
     large = b"POST /post/1 HTTP/1.1\r\nReq-Id: b\r\nContent-Length: %d\r\n\r\n" % LARGE_BODY_BYTES
     large += bytes(LARGE_BODY_BYTES)
