--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -1,7 +1,8 @@
-"""Measure the processor time of a proxy's start, by part: `python -m benchmarks.start [other checkout ...]`.
+"""Measure the processor time that a proxy needs to start: `python -m benchmarks.start [other checkout ...]`.
 
-A start on the operators' bench lasts its processor time divided by the node's fraction of a core, so the last
-column is the fraction below which one start in ten is not ready within 10 s. Checkouts are measured in turn.
+The table shows the parts of a start. On the operators' bench a start takes its processor time divided by the
+node's fraction of a core, so the last column is the fraction below which one start in ten is not ready within
+10 s. The runs of several checkouts are interleaved.
 """
 
 from __future__ import annotations
@@ -22,17 +23,17 @@
 RUNS = 25
 READY_S = 10.0
 HIGH_QUANTILE = 0.9
-PROCESS_CPU_CLOCK = 2  # the clock of a process's processor time; see clock_getcpuclockid
-SERVING_LOG_TEXTS = ("proxy serving", "serves on")  # of this checkout, and of earlier ones
-DISCOVERY_ADDRESS = "127.0.0.1:1"  # at which nothing listens
+PROCESS_CPU_CLOCK = 2  # selects the clock of a process's processor time, as in clock_getcpuclockid(3)
+SERVING_LOG_TEXTS = ("proxy serving", "serves on")  # in this checkout, and in earlier ones
+DISCOVERY_ADDRESS = "127.0.0.1:1"  # no server listens at this address
 ADDRESSES_PER_SUBNET = 250
 
 
 class StartFailedError(ChildProcessError):
-    """A proxy ended before it served."""
+    """A proxy ended before it was ready to serve."""
 
     def __init__(self, exit_code: int) -> None:
-        super().__init__(f"the proxy ended with exit code {exit_code} before it served")
+        super().__init__(f"the proxy ended with exit code {exit_code} before it was ready to serve")
         self.exit_code = exit_code
 
 
@@ -41,15 +42,15 @@
     """A process whose processor time is measured."""
 
     name: str
-    arguments: tuple[str, ...]  # of the interpreter
+    arguments: tuple[str, ...]  # to the interpreter
     cached_endpoints: int = 13
-    until_serving: bool = False  # whether it is measured until it serves; else until it ends
+    until_serving: bool = False  # whether the measurement ends when the process serves; else when it ends
 
     def cpu_seconds(self, checkout: Path, configuration: Path) -> float:
         """Run the process in a checkout and return its processor time.
 
         Raises:
-            StartFailedError: The process should serve, and ended before.
+            StartFailedError: The process ends before it serves, in a measurement until it serves.
         """
         with subprocess.Popen(
             [sys.executable, *self.arguments],
@@ -78,7 +79,7 @@
 
 @dataclass(slots=True)
 class StartTimes:
-    """The processor times of a measurement in a checkout."""
+    """The processor times of the runs of a measurement in a checkout."""
 
     measurement: Measurement
     checkout: Path
@@ -95,7 +96,7 @@
 
 def _cpu_seconds_until_serving(process: subprocess.Popen[str]) -> float:
     if process.stderr is None:
-        raise ValueError("the process was started without a pipe for its log")
+        raise ValueError("cannot read the proxy's log: the process has no pipe as standard error")
     for line in process.stderr:
         if any(text in line for text in SERVING_LOG_TEXTS):
             cpu_s = time.clock_gettime((~process.pid << 3) | PROCESS_CPU_CLOCK)
@@ -105,7 +106,7 @@
 
 
 def proxy_configuration(endpoints: int) -> bytes:
-    """Return a configuration with a cached list, with which the proxy is ready while discovery is down."""
+    """Return a configuration with a cached list, so that the proxy is ready without a discovery server."""
     targets = [
         {
             "uid": f"s{number}",
@@ -128,7 +129,7 @@
 
 
 def measure(checkouts: Sequence[Path], runs: int = RUNS) -> list[StartTimes]:
-    """Run all measurements in all checkouts in turn, so that other load on the machine affects all alike."""
+    """Run all measurements, interleaved so that other load on the machine affects all checkouts equally."""
     results = [StartTimes(measurement, checkout) for measurement in MEASUREMENTS for checkout in checkouts]
     with tempfile.TemporaryDirectory() as folder:
         configurations = {
@@ -145,7 +146,7 @@
 
 
 def main() -> None:
-    """Measure this checkout and those of the command line, and print the table."""
+    """Measure this checkout and those named on the command line, and print the table."""
     results = measure([ROOT, *(Path(name).resolve() for name in sys.argv[1:])])
     print(f"{'processor time, ms':30} {'minimum':>7} {'median':>7} {'p90':>7}  core for {READY_S:.0f} s")
     for times in results:
