--- a/tests/benchmarks/test_capacity.py
+++ b/tests/benchmarks/test_capacity.py
@@ -23,8 +23,8 @@
     page = capacity_page.PAGE.read_text()
     runs = {figure.run for figure in all_figures(ResultFiles()) if figure.value is not None}
     assert runs <= {path.stem for path in RESULTS_FOLDER.glob("*.json")}
-    places = ("loadbalancer", "benchmarks", "tests")
-    files = [path.as_posix() for place in places for path in (ROOT / place).rglob("*.py")]
+    folders = ("loadbalancer", "benchmarks", "tests")
+    files = [path.as_posix() for folder in folders for path in (ROOT / folder).rglob("*.py")]
     for name in re.findall(r"`((?:\w+/)*\w+\.py)`", page):
         assert any(f"/{path}".endswith(f"/{name}") for path in files), name
 
--- a/tests/benchmarks/test_chain_model.py
+++ b/tests/benchmarks/test_chain_model.py
@@ -1,4 +1,4 @@
-"""Chains of tiers in model time: how the attempts multiply where one tier has a fault."""
+"""Simulated chains of tiers: how retries multiply the attempts if one tier has a fault."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from benchmarks.models.simulation_context import FleetObserver
 from loadbalancer.events import AttemptResult
 
-BOTTOM = 2  # the tier of a chain of three
+BOTTOM = 2  # the number of the lowest of three tiers
 
 
 def chain_scenario(depth, fault, max_attempts):
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize("depth", [pytest.param(1, id="one tier"), pytest.param(3, id="three tiers")])
-def test_request_is_one_attempt_a_tier_without_a_fault(depth):
+def test_request_takes_one_attempt_per_tier_without_a_fault(depth):
     metrics = simulate(depth, NO_FAULT, 4)
     assert metrics.clients > 200
     assert metrics.attempts_by_tier == [1.0] * depth
@@ -33,26 +33,26 @@
     "result",
     [pytest.param(AttemptResult.REJECTED, id="rejected"), pytest.param(AttemptResult.ERROR, id="error")],
 )
-def test_faulty_attempts_are_retried_by_the_next_callers_only(result):
+def test_faulty_attempts_are_retried_only_by_the_tier_above(result):
     fault = Fault(BOTTOM, result, 0.1)
     metrics = simulate(3, fault, 4)
     assert metrics.attempts_by_tier[:2] == [1.0, 1.0]
     assert metrics.attempts_by_tier[2] == pytest.approx(1.0 / 0.9, abs=0.06)
     assert metrics.served_fraction > 0.99
-    single = simulate(3, fault, 1)
-    assert single.attempts_by_tier == [1.0] * 3
-    assert single.served_fraction == pytest.approx(0.9, abs=0.05)
+    without_retries = simulate(3, fault, 1)
+    assert without_retries.attempts_by_tier == [1.0] * 3
+    assert without_retries.served_fraction == pytest.approx(0.9, abs=0.05)
 
 
 def test_requests_that_fail_everywhere_are_retried_by_every_tier():
-    """Each tier doubles them: with a fraction d of these, tiers get 1 + d, 1 + 3d, 1 + 7d attempts."""
+    """Each tier doubles their attempts: tiers get 1 + d, 1 + 3d, 1 + 7d per client if d is their fraction."""
     metrics = simulate(3, Fault(BOTTOM, AttemptResult.REJECTED, 0.1, per_client=True), 2)
     failing = 1.0 - metrics.served_fraction
     expected = [1.0 + failing, 1.0 + 3.0 * failing, 1.0 + 7.0 * failing]
     assert metrics.attempts_by_tier == pytest.approx(expected)
 
 
-def test_same_seed_gives_the_same_chain():
+def test_same_seed_gives_the_same_chain_metrics():
     fault = Fault(1, AttemptResult.REJECTED, 0.1)
     assert simulate(2, fault, 2) == simulate(2, fault, 2)
     assert simulate(2, fault, 2) != simulate(2, fault, 2, seed=2)
@@ -105,7 +105,7 @@
     )
 
 
-def test_slopes_of_chains_are_over_the_depth():
+def test_slopes_of_chains_are_fitted_over_the_depth():
     slopes = chain_slopes([chain_record(depth) for depth in (1, 2, 3, 4)])
     assert slopes["sent over depth: none; last tier; at most 4"].per_unit == pytest.approx(2.0)
     assert slopes["there over depth: none; last tier; at most 4"].per_unit == pytest.approx(0.0)
--- a/tests/benchmarks/test_connection_pool_model.py
+++ b/tests/benchmarks/test_connection_pool_model.py
@@ -1,4 +1,4 @@
-"""The modelled connection pools, and the connections that a simulated fleet holds."""
+"""The simulated connection pools, and the number of connections that a simulated fleet has open."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from benchmarks.models.simulation_context import FleetObserver
 from loadbalancer.proxy.connection_pool import IDLE_TIMEOUT_FRACTION
 
-IDLE_TIMEOUT_S = 4.0  # after which the backends here close an idle connection; nodes do at half of it
-MAX_IDLE_MS = 1000.0 * IDLE_TIMEOUT_S * IDLE_TIMEOUT_FRACTION * 1.25  # a node sweeps four times a timeout
+IDLE_TIMEOUT_S = 4.0  # of the backends for idle connections; nodes close them after half of it
+MAX_IDLE_MS = 1000.0 * IDLE_TIMEOUT_S * IDLE_TIMEOUT_FRACTION * 1.25  # a node sweeps four times per timeout
 
 
 def advance(queue, ms):
@@ -19,7 +19,7 @@
     queue.run_until(queue.now_ms + ms + 0.001)
 
 
-def test_newest_connection_whose_idle_period_is_over_is_reused():
+def test_newest_connection_idle_for_the_reuse_delay_is_reused():
     queue = EventQueue()
     pool = ModelledConnectionPool(queue, IDLE_TIMEOUT_S)
     first, second = pool.acquire("a"), pool.acquire("a")
@@ -29,7 +29,7 @@
     pool.release("a", second, reusable=True)
     assert (pool.opened, pool.connections["a"]) == (2, 2)
     advance(queue, 5.0)
-    pool.acquire("a")  # the newest got its response 5 ms ago
+    pool.acquire("a")  # the newest is idle for 5 ms only, less than the reuse delay
     assert (pool.opened, pool.reused, pool.idle_since_ms["a"]) == (2, 1, [newest_ms])
     pool.acquire("a")
     assert (pool.opened, pool.reused) == (3, 1)
@@ -43,7 +43,7 @@
     pool = ModelledConnectionPool(queue, IDLE_TIMEOUT_S)
     pool.release("a", pool.acquire("a"), reusable=True)
     advance(queue, 1000.0 * IDLE_TIMEOUT_S * IDLE_TIMEOUT_FRACTION + 1.0)
-    pool.acquire("a")  # the idle one is too old, swept or not
+    pool.acquire("a")  # the idle one is past its timeout, whether or not a sweep has closed it
     assert (pool.opened, pool.reused) == (2, 0)
     advance(queue, 1000.0 * IDLE_TIMEOUT_S)
     assert (pool.connections["a"], pool.sweep_scheduled) == (1, False)
@@ -54,14 +54,14 @@
     pool = ModelledConnectionPool(queue, IDLE_TIMEOUT_S)
     pool.release("a", pool.acquire("a"), reusable=False)
     assert pool.connections["a"] == 0
-    before = pool.acquire("a")
+    incarnation = pool.acquire("a")
     pool.drop_backend("a")
-    pool.release("a", before, reusable=True)
+    pool.release("a", incarnation, reusable=True)
     assert (pool.connections["a"], pool.idle_since_ms) == (0, {})
 
 
 class ConnectionChecker(FleetObserver):
-    """Compares the connections of all nodes with what the attempts need, eight times a second."""
+    """Checks eight times per second that the nodes have no more connections than the attempts need."""
 
     def __init__(self, fleet):
         self.fleet = fleet
--- a/tests/benchmarks/test_profiled_proxy.py
+++ b/tests/benchmarks/test_profiled_proxy.py
@@ -1,4 +1,4 @@
-"""The proxy that samples itself: the stage that a sample counts for."""
+"""The proxy that samples itself counts each sample for the right stage."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def sample_at_choices(sampler):
-    """Takes a sample whenever `Random.choices` is entered."""
+    """Takes a sample at each call of `Random.choices`."""
 
     def on_event(frame, event, _argument):
         if event == "call" and frame.f_code is Random.choices.__code__:
@@ -53,6 +53,6 @@
 
 
 @pytest.mark.parametrize("file", [file for file in STAGES if file.startswith(PROGRAM_FOLDER)])
-def test_stages_name_functions_that_the_proxy_has(file):
+def test_stages_name_only_existing_functions_of_the_proxy(file):
     code = (ROOT / file).read_text()
     assert [name for name in STAGES[file] if name and f"def {name}(" not in code] == []
--- a/tests/benchmarks/test_slow_start.py
+++ b/tests/benchmarks/test_slow_start.py
@@ -1,11 +1,11 @@
-"""Backends in slow start keep within what the settings allow them, over all nodes together.
-
-Seeded runs of the simulated fleet (`benchmarks/models/fleet_simulation.py`). A window has the length after
-which an overloaded backend in slow start fails. In each window a backend may get N + 2 x root of N + 2
-requests, where N = factor x current capacity x window. The nodes do not know the work of a request, so the
-number of requests is held strictly, and their work exceeds the budget by chance alone: for the smallest
-backend just started (N = 5.6), a Poisson stream of half of N requests of this mix does so in 6 windows of a
-thousand, and never by number (`python -m benchmarks.fleet_model --chance`).
+"""The load of backends in slow start stays within their budget, over all nodes together.
+
+A backend in slow start fails if the attempts of all nodes overload it for the length of a window. In seeded
+simulations (`benchmarks/models/fleet_simulation.py`), it may get N + 2 x sqrt(N) + 2 requests in each window,
+where N = overload factor x current capacity x window. Nodes have no figure for the work of a request, so the
+limit is strict for the number of requests, and their work may exceed it at random: for the smallest backend
+at its start (N = 5.6), a Poisson stream of half of N requests of this mix does so in 6 windows of a thousand,
+and never by number (`python -m benchmarks.fleet_model --chance`).
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from benchmarks.models.fleet_simulation import simulate
 from loadbalancer.policy.slow_start import SlowStart
 
-POISSON_EXCESS_PER_MILLE = 6.0  # windows of a thousand that go over by work
+POISSON_EXCESS_PER_MILLE = 6.0  # windows over budget by work, of a Poisson stream
 
 
 def run(nodes: int, scenario_name: str, seed: int = 1) -> RunMetrics:
@@ -37,20 +37,20 @@
 def test_warming_backends_do_not_exceed_their_budget_over_all_nodes(nodes, scenario_name):
     metrics = cached_run(nodes, scenario_name)
     assert metrics.windows >= 80
-    assert metrics.budget_used > 0.1  # they are not just left alone
+    assert metrics.budget_used > 0.1  # the nodes do send them attempts
     assert metrics.over_by_requests == 0
 
 
 @pytest.mark.parametrize("nodes", NODE_COUNTS)
-def test_warming_backends_get_more_work_than_their_budget_by_chance_only(nodes):
+def test_warming_backends_exceed_their_budget_by_work_no_more_often_than_a_poisson_stream(nodes):
     runs = [cached_run(nodes, scenario_name) for scenario_name in SCENARIO_NAMES]
     over_by_work = sum(metrics.over_by_work for metrics in runs)
     windows = sum(metrics.windows for metrics in runs)
     assert 1000.0 * over_by_work / windows <= POISSON_EXCESS_PER_MILLE
 
 
-def test_warming_backends_go_over_their_budget_without_pacing(monkeypatch):
-    """The count can fail: with every draw let through, windows go over by number and by work."""
+def test_warming_backends_exceed_their_budget_without_pacing(monkeypatch):
+    """Shows that the metrics detect an overload: without pacing, windows exceed the budget in both ways."""
     monkeypatch.setattr(SlowStart, "admits", lambda *_: True)
     metrics = run(200, "all")
     assert metrics.over_by_requests > 0
