--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,10 +1,10 @@
-"""Benchmarks and simulations: the cost of each part of the program by the size of its environment.
+"""Benchmarks and simulations: how the cost of each part of the program grows with the service and the fleet.
 
 Each command runs as `python -m benchmarks.NAME` and prints tables; most also write a result file:
 
 - `data_path`: the cost of a request through a real proxy, compared with the same request sent directly.
 - `call_profile`: the processor time of a request through a real proxy, by stage.
-- `control`: the cost of following an endpoint list to a real proxy.
+- `control`: the cost of following an endpoint list, for a real proxy.
 - `start`: the processor time that a proxy needs to start.
 - `longest_turn`: the longest iteration of a proxy's event loop.
 - `hollow`: the cost of many watches for a list server and for hollow nodes.
--- a/benchmarks/models/chain_scenario.py
+++ b/benchmarks/models/chain_scenario.py
@@ -12,7 +12,7 @@
 NODES_PER_TIER = 4
 BACKENDS_PER_TIER = 4
 LOAD = 0.3  # fraction of a tier's capacity, by clients' requests without retries
-UNCOUNTED_MS = 3000.0  # warm-up: clients that arrive earlier are not counted
+WARM_UP_MS = 3000.0  # at the beginning: clients that arrive in it are not counted
 
 
 @dataclass(frozen=True)
@@ -41,7 +41,7 @@
     depth: int  # tiers
     fault: Fault
     max_attempts: int  # of each node for a request
-    seconds: float = 13.0  # in which clients arrive; those before `UNCOUNTED_MS` (3 s) are not counted
+    seconds: float = 13.0  # in which clients arrive, including `WARM_UP_MS`
     all_classes: bool = False  # whether requests are of all classes; else all are idempotent
 
     def tier_scenario(self, number: int) -> Scenario:
@@ -50,7 +50,7 @@
             NODES_PER_TIER,
             BACKENDS_PER_TIER,
             load=LOAD,
-            start_ms=UNCOUNTED_MS,
+            start_ms=WARM_UP_MS,
             seconds=self.seconds,
             without_slow_start=True,
             error_fraction=0.0,
--- a/benchmarks/models/fleet_entities.py
+++ b/benchmarks/models/fleet_entities.py
@@ -76,7 +76,7 @@
     def window_capacity(self, end_ms: float) -> float:
         """Return the requests of average work that fit into the overload window that ends at `end_ms`.
 
-        The whole window has the capacity at its midpoint, or at the backend's start if that is later.
+        The capacity is that at the window's midpoint, or at the backend's start if that is later.
         """
         centre_ms = max(end_ms - OVERLOAD_WINDOW_MS / 2.0, self.started_ms or 0.0)
         speed = BACKEND_CORES * self.core_speed * self.capacity_fraction(centre_ms)
@@ -120,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnd:
-    """The end of an attempt."""
+    """The result of an attempt, and whether it ends the request."""
 
     result: AttemptResult
     done: bool  # whether the request has its final response
--- a/benchmarks/models/fleet_metrics.py
+++ b/benchmarks/models/fleet_metrics.py
@@ -20,7 +20,7 @@
     WINDOW_INTERVAL_MS,
 )
 
-LAST_REQUESTS_MS = 2500.0  # before the end: later clients may be unfinished, and are not counted
+UNCOUNTED_END_MS = 2500.0  # at the end: clients that arrive in it may not finish, and are not counted
 MIN_NOTIFIED_FRACTION = 2.0 / 3.0  # of a window's work: with less, the nodes can't enforce the budget
 
 
@@ -132,7 +132,7 @@
             work, budget = work + window.work, budget + window.budget
     metrics.budget_used = work / budget if budget else 0.0
     metrics.add_service(
-        [client for client in clients if client.counted and client.created_ms < end_ms - LAST_REQUESTS_MS]
+        [client for client in clients if client.counted and client.created_ms < end_ms - UNCOUNTED_END_MS]
     )
     metrics.attempts_per_client = counted_attempts / max(1, sum(client.counted for client in clients))
     return metrics
--- a/benchmarks/models/pooled_fleet.py
+++ b/benchmarks/models/pooled_fleet.py
@@ -13,7 +13,7 @@
     ModelledConnectionPool,
 )
 from benchmarks.models.fleet_entities import AttemptEnd, SimulatedAttempt, SimulatedBackend
-from benchmarks.models.fleet_metrics import LAST_REQUESTS_MS, fraction_served_in_time
+from benchmarks.models.fleet_metrics import UNCOUNTED_END_MS, fraction_served_in_time
 from benchmarks.models.fleet_scenario import Scenario
 from benchmarks.models.fleet_simulation import FleetSimulation
 from benchmarks.models.simulation_context import FleetObserver, SimulationContext
@@ -26,7 +26,7 @@
     AttemptResult.REJECTED,
 )
 SAMPLE_INTERVAL_MS = 125.0
-SETTLED_MS = 3000.0  # the start of the counts of the load's distribution
+STEADY_STATE_START_MS = 3000.0  # the steady state, in which the load is counted, ends with the slow start
 BEFORE_START_MS = 0.01  # the counts end this long before the slow start
 BEFORE_FIRST_SAMPLE_MS = 0.1  # the counts begin this long before the first sample
 
@@ -101,7 +101,7 @@
         self.connections = ConnectionObserver(self.context, backend_idle_timeouts_s)
         self.context.observers.append(self.connections)
         self.usage = {timeout_s: PoolUsage() for timeout_s in backend_idle_timeouts_s}
-        self._settled_requests: Counter[str] = Counter()  # by backend, from `SETTLED_MS` to the slow start
+        self._steady_state_requests: Counter[str] = Counter()  # by backend
         for timeout_s in backend_idle_timeouts_s:
             self._schedule_counts(timeout_s)
         self.queue.schedule(scenario.start_ms - BEFORE_START_MS, self._count_requests)
@@ -116,17 +116,17 @@
         self.queue.schedule(start_ms - BEFORE_START_MS, self._end_counts, timeout_s)
 
     def served_before_slow_start(self) -> float:
-        """Return the fraction of clients served in time between `SETTLED_MS` and the slow start."""
-        end_ms = self.scenario.start_ms - LAST_REQUESTS_MS
+        """Return the fraction of the clients in the steady state that are served in time."""
+        end_ms = self.scenario.start_ms - UNCOUNTED_END_MS
         return fraction_served_in_time(
-            [client for client in self.clients.all if SETTLED_MS <= client.created_ms < end_ms]
+            [client for client in self.clients.all if STEADY_STATE_START_MS <= client.created_ms < end_ms]
         )
 
     def load_spread(self) -> LoadSpread:
-        """Return the distribution of the requests over the backends from `SETTLED_MS` to the slow start."""
-        backends, total = self.backends.initial, self._settled_requests.total()
+        """Return the distribution over the backends of the requests in the steady state."""
+        backends, total = self.backends.initial, self._steady_state_requests.total()
         speeds = sum(backend.core_speed for backend in backends)
-        loads = [self._settled_requests[backend.address] / backend.core_speed for backend in backends]
+        loads = [self._steady_state_requests[backend.address] / backend.core_speed for backend in backends]
         mean = sum(loads) / len(loads)
         variance = sum((load - mean) ** 2 for load in loads) / len(loads)
         expected = [total * backend.core_speed / speeds for backend in backends]
@@ -152,5 +152,5 @@
 
     def _count_requests(self) -> None:
         for backend in self.backends.initial:
-            settled = sum(arrival.at_ms >= SETTLED_MS for arrival in backend.arrivals)
-            self._settled_requests[backend.address] = settled
+            steady_state = sum(arrival.at_ms >= STEADY_STATE_START_MS for arrival in backend.arrivals)
+            self._steady_state_requests[backend.address] = steady_state
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -21,7 +21,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 RUNS = 25
-READY_S = 10.0
+READY_LIMIT_S = 10.0
 HIGH_QUANTILE = 0.9
 PROCESS_CPU_CLOCK = 2  # selects the clock of a process's processor time, as in clock_getcpuclockid(3)
 SERVING_LOG_TEXTS = ("proxy serving", "serves on")  # in this checkout, and in earlier ones
@@ -30,7 +30,7 @@
 
 
 class StartFailedError(ChildProcessError):
-    """A proxy ended before it was ready to serve."""
+    """A proxy ends before it is ready to serve."""
 
     def __init__(self, exit_code: int) -> None:
         super().__init__(f"the proxy ended with exit code {exit_code} before it was ready to serve")
@@ -91,7 +91,7 @@
         high = ordered[math.floor(HIGH_QUANTILE * len(ordered))]
         figures = (ordered[0], statistics.median(ordered), high)
         columns = " ".join(f"{1000.0 * figure:7.1f}" for figure in figures)
-        return f"{self.measurement.name:30} {columns} {high / READY_S:9.4f}  {self.checkout.name}"
+        return f"{self.measurement.name:30} {columns} {high / READY_LIMIT_S:9.4f}  {self.checkout.name}"
 
 
 def _cpu_seconds_until_serving(process: subprocess.Popen[str]) -> float:
@@ -148,7 +148,9 @@
 def main() -> None:
     """Measure this checkout and those named on the command line, and print the table."""
     results = measure([ROOT, *(Path(name).resolve() for name in sys.argv[1:])])
-    print(f"{'processor time, ms':30} {'minimum':>7} {'median':>7} {'p90':>7}  core for {READY_S:.0f} s")
+    print(
+        f"{'processor time, ms':30} {'minimum':>7} {'median':>7} {'p90':>7}  core for {READY_LIMIT_S:.0f} s"
+    )
     for times in results:
         print(times.line())
 
