--- a/benchmarks/capacity/figures.py
+++ b/benchmarks/capacity/figures.py
@@ -26,7 +26,7 @@
 
 # The operators' budgets.
 ADDED_P99_BUDGET_US = 330
-LIST_SIZE_COST_BUDGET = 1.1  # ratio of the cost with the largest list to that with a mean one
+LIST_SIZE_COST_BUDGET = 1.1  # ratio of the cost with the largest list to that with one of average size
 CONTROL_BUDGET_CORES = 0.027
 CONTROL_BUDGET_BYTES_PER_S = 2000
 CONTROL_BUDGET_MB = 128
