--- a/tests/discovery_server/model.py
+++ b/tests/discovery_server/model.py
@@ -1,6 +1,6 @@
-"""Modelled discovery servers and nodes, without sockets and in model time.
+"""Model of discovery servers and nodes, without sockets and in model time.
 
-Pipelines, stores, watches and snapshots are the real ones. The cluster records the list of each revision.
+Pipelines, stores, watches and snapshot files are the program's. The cluster records each revision's list.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 class RecordingStore(EndpointStore):
-    """Records each commit, and checks that its snapshot is on the disk before any client sees it."""
+    """Records each commit, and checks that its snapshot is written before clients receive the change."""
 
     def __init__(self, server, *args):
         super().__init__(*args)
@@ -45,11 +45,11 @@
         if change_set.records and not self._server.pipeline.writer.outdated:
             snapshot = snapshot_store.decode(self._server.snapshots.newest.read_bytes(), LIST_NAME)
             if set(snapshot.records) != set(self.records.values()):
-                cluster.faults.append("sent before it was on the disk")
+                cluster.faults.append("change committed before its snapshot is on the disk")
 
 
 class ModelServer:
-    """A discovery server; its upstream follower is reduced to polls and the handling of their responses."""
+    """A discovery server whose upstream follower only polls and handles the responses."""
 
     def __init__(self, cluster, name, tag, upstreams):
         self.cluster, self.tag, self.upstreams = cluster, tag, upstreams
@@ -74,8 +74,8 @@
             self.cluster.now_ms,
             self.cluster.log,
         )
-        self.connection = None  # the upstream, and the revision last received on this connection
-        self.rejected_revisions = []  # of unknown clients, whose requests wait for the disk
+        self.connection = None  # the upstream and the revision last received from it; None without one
+        self.rejected_revisions = []  # of unknown clients, which retry once the disk has written
         self.alive = True
 
     def disconnect(self):
@@ -94,7 +94,7 @@
             raise ConnectionError from error  # as after a 503
 
     def poll_upstream(self):
-        """Send the follower's next request; a failed one selects the next upstream."""
+        """Send the follower's next request; if it fails, select the next upstream."""
         upstream, revision = self.connection or (self.upstreams[0], None)
         try:
             body = upstream.response_since(revision)
@@ -123,7 +123,7 @@
         self.watches.expire(now_ms)
 
     def kill(self):
-        """End the process as by SIGKILL: only its files remain."""
+        """Stop as a process does at SIGKILL: only its files remain."""
         self.alive = False
         if self.pipeline._task is not None:
             self.pipeline._task.cancel()
@@ -132,7 +132,7 @@
 
 
 class ModelNode:
-    """A node, which polls any server from the revision that it holds."""
+    """A node, which watches any server from the revision that it holds."""
 
     def __init__(self, cluster, server):
         self.cluster, self.server = cluster, server
@@ -167,20 +167,20 @@
         document = orjson.loads(body)
         revision, complete = document["rev"], document["all"]
         entries = {entry["uid"]: (entry["state"], entry["version"]) for entry in document["targets"]}
-        assert revision >= self.revision, "a revision went back"
+        assert revision >= self.revision, f"revision decreased from {self.revision} to {revision}"
         repeated = set() if complete else self.repeated_uids(entries, revision)
-        assert not repeated, f"received twice: {repeated}"
-        # Tombstones are kept, since an endpoint that was added and removed in between may come as one.
+        assert not repeated, f"entries received twice without a change: {repeated}"
+        # Retains tombstones: an endpoint added and removed between two responses may be sent as one.
         self.received = entries if complete else self.received | entries
         self.view = {uid: version for uid, (state, version) in self.received.items() if state != "Gone"}
         assert len(self.view) == len(entries) or not complete
         self.revision = revision
-        assert self.view == self.cluster.issued[revision], "not what the server held at this revision"
+        assert self.view == self.cluster.issued[revision], f"not the server's list at revision {revision}"
 
     def repeated_uids(self, entries, revision):
-        """The entries of a delta that repeat the last ones received, without a change in between.
+        """The entries of a delta that equal the ones last received, without a change in between.
 
-        An entry that changed and changed back may be repeated: a server lost it with its disk.
+        An entry that changed and changed back may be repeated, as after the loss of a server's disk.
         """
         tag = revision % (1 << TAG_BITS)
         between = [
--- a/tests/discovery_server/model_environment.py
+++ b/tests/discovery_server/model_environment.py
@@ -1,4 +1,4 @@
-"""The environment of the modelled discovery servers: registry, disks, clock and the record of revisions."""
+"""The environment of the model's discovery servers: registry, disks, clock and the record of revisions."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class ModelDisk(Executor):
-    """Writes at once; while it is slow, writes wait for `run_pending`; while it is full, they fail."""
+    """Writes immediately; while it is slow, writes wait for `run_pending`; while it is full, they fail."""
 
     def __init__(self):
         self.slow = self.full = False
@@ -44,7 +44,7 @@
 
 
 class ModelRegistry:
-    """The registry's list; the `version` of an entry is the number of the change that made it."""
+    """The registry's list; the `version` of an entry is the number of its latest change."""
 
     def __init__(self):
         self.revision, self.version, self.entries = 1, 0, {}
@@ -85,8 +85,8 @@
         self.log = structlog.testing.CapturingLogger()
         self.registry = ModelRegistry()
         self.clock_offset_ms = 0.0
-        self.issued = {}  # by revision: what the server that issued it held, uid to version
-        self.faults = []  # collected, since an exception would end a task unnoticed
+        self.issued = {}  # by revision: the list of the server that issued it, as versions by uid
+        self.faults = []  # collected, since an exception in a task would go unnoticed
 
     def now_ms(self):
         return EPOCH_MS + 1e11 + self.clock_offset_ms + self.loop.time() * 1000.0
@@ -94,14 +94,14 @@
     def record(self, store):
         view = {record.uid: orjson.loads(record.entry_json)["version"] for record in store.records.values()}
         if self.issued.setdefault(store.revision, view) != view:
-            self.faults.append(f"one revision for two states: {view} and {self.issued[store.revision]}")
+            self.faults.append(f"one revision for two lists: {view} and {self.issued[store.revision]}")
 
     def run(self, seconds=0.001):
         """Run the loop for some model time; a pending write may stay pending."""
         self.loop.run_until_complete(asyncio.sleep(seconds))
 
     def call(self, function, *args):
-        """Call the function within the running loop, and return its result."""
+        """Call a function while the event loop runs, and return its result."""
 
         async def call():
             return function(*args)
--- a/tests/discovery_server/model_rules.py
+++ b/tests/discovery_server/model_rules.py
@@ -1,7 +1,6 @@
-"""The rules of the discovery servers' model, by what they act on: registry, disks, servers and clients.
+"""Rules of the stateful model test, by what they act on: registry, disks, servers and clients.
 
-A registry, the servers of one region and of two zones, and nodes. Each rule is an event that can happen at
-any time.
+The model has a registry, the servers of one region and two zones, and nodes. Rules can run at any time.
 """
 
 from __future__ import annotations
@@ -24,7 +23,7 @@
 
 
 class ClusterMachine(RuleBasedStateMachine):
-    """The cluster, its invariants, and its recovery at the end of a run."""
+    """The cluster, its invariants, and its recovery at the end of an example."""
 
     def __init__(self):
         super().__init__()
@@ -34,12 +33,13 @@
 
     @initialize()
     def start_servers_and_nodes(self):
-        region = [ModelServer(self.cluster, f"region-{at}", at, [self.registry]) for at in range(2)]
+        region = [ModelServer(self.cluster, f"region-{index}", index, [self.registry]) for index in range(2)]
         zones = [
-            ModelServer(self.cluster, f"zone-{at}", 2 + at, region[at:] + region[:at]) for at in range(2)
+            ModelServer(self.cluster, f"zone-{index}", 2 + index, region[index:] + region[:index])
+            for index in range(2)
         ]
         self.servers = [*region, *zones]
-        self.nodes = [ModelNode(self.cluster, zones[at % 2]) for at in range(3)]
+        self.nodes = [ModelNode(self.cluster, zones[index % 2]) for index in range(3)]
         self.nodes.append(ModelNode(self.cluster, region[0]))
 
     @rule()
@@ -59,23 +59,23 @@
             server.expire(self.cluster.loop.time() * 1000.0)
 
     @invariant()
-    def no_store_saw_a_fault(self):
+    def no_fault_is_recorded(self):
         assert not self.cluster.faults
 
     @invariant()
-    def no_watch_waits_for_a_change_that_is_there(self):
+    def no_watch_waits_for_an_available_change(self):
         for server in self.servers:
             waiting = server.watches.waiting_revisions(server.store)
             assert all(server.store.responses.since(revision) is None for revision in waiting)
 
     def teardown(self):
-        """Once all faults end, each node holds the registry's list within a few rounds, and keeps it."""
+        """Check that without faults each node receives the registry's list, and that revisions then stay."""
         if self.servers:
             self.repair_all()
             for _ in range(RECOVERY_ROUNDS):
                 self.propagate()
-            truth = {uid: entry["version"] for uid, entry in self.registry.entries.items()}
-            assert [node.view for node in self.nodes] == [truth] * len(self.nodes)
+            expected_view = {uid: entry["version"] for uid, entry in self.registry.entries.items()}
+            assert [node.view for node in self.nodes] == [expected_view] * len(self.nodes)
             revisions = [server.store.revision for server in self.servers]
             for server in self.servers:
                 server.expire(1e12)
@@ -118,7 +118,7 @@
 
 
 class ClientRules(ClusterMachine):
-    """Requests of nodes and of clients that the servers don't know."""
+    """Requests of nodes, and of clients whose revisions the servers have not issued."""
 
     @rule(node=NODES)
     def node_sends_a_request(self, node):
@@ -144,10 +144,10 @@
             except ConnectionError:
                 target.rejected_revisions.append(revision)
                 if not target.disk.slow:
-                    self.continue_disk(server, full=False)
+                    self.resume_disk(server, full=False)
 
-    def continue_disk(self, server, full):
-        """Let the pending writes of a server's disk fail or succeed, and the disk work from then on."""
+    def resume_disk(self, server, full):
+        """Complete the pending writes of a server's disk, or fail them if it is full; later ones succeed."""
         disk = self.servers[server].disk
         disk.full = full
         disk.run_pending()
@@ -158,7 +158,7 @@
             self.check_rejected_clients_are_served(server)
 
     def check_rejected_clients_are_served(self, server):
-        """Check that each one is served at its second request at the latest; the first may start a write."""
+        """Check that each client is served at its first or second request; the first may start a write."""
         rejected, self.servers[server].rejected_revisions = self.servers[server].rejected_revisions, []
         for revision in rejected:
             try:
@@ -182,8 +182,8 @@
         self.servers[server].disk.slow = True
 
     @rule(server=SERVERS, full=st.booleans())
-    def disk_continues(self, server, full):
-        self.continue_disk(server, full)
+    def disk_resumes(self, server, full):
+        self.resume_disk(server, full)
 
     @rule(
         server=SERVERS,
@@ -193,14 +193,14 @@
         full=st.booleans(),
     )
     def change_while_the_disk_is_slow(self, server, uids, state, unknown_client, full):
-        """Change the list while a snapshot is written; later changes wait for that write."""
+        """Change the list while a snapshot write is pending, so that later changes wait for it."""
         self.disk_turns_slow(server)
         for uid in uids:
             self.registry.set(uid, state)
             self.propagate()
         if unknown_client:
             self.request_from_an_unknown_revision(server, 30)
-        self.disk_continues(server, full)
+        self.disk_resumes(server, full)
         self.propagate()
 
 
@@ -237,7 +237,7 @@
         seconds=st.sampled_from(RESTART_S),
     )
     def restart(self, server, damage, fraction, clock_ms, seconds):
-        """Restart no sooner than a second after the earlier process began, as long as a restart takes."""
+        """Kill and restart a server; a restart takes at least 1 s, so starts are that far apart."""
         self.kill(server)
         self.cluster.run(seconds)
         self.cluster.clock_offset_ms += clock_ms
