--- a/tests/discovery_server/builders.py
+++ b/tests/discovery_server/builders.py
@@ -20,7 +20,7 @@
 
 
 class Response(NamedTuple):
-    """What a response body says: the revision, whether it is complete, and each endpoint's state."""
+    """The content of a response body: its revision, whether it is complete, and each endpoint's state."""
 
     revision: int
     complete: bool
@@ -52,7 +52,7 @@
 
 
 def apply(store: EndpointStore, complete: bool, *entries: Entry, now_ms: float = NOW_MS) -> int:
-    """The revision after this update."""
+    """Apply an update; returns the revision after it."""
     change_set = store.prepare([update(complete, *entries)], now_ms)
     if change_set is not None:
         store.commit(change_set)
@@ -60,31 +60,31 @@
 
 
 def advance_past(store: EndpointStore, revision: int, now_ms: float = NOW_MS) -> None:
-    """What the pipeline does for a client that holds this newer revision."""
+    """Advance the store as the update pipeline does for a client that holds this newer revision."""
     change_set = store.prepare((), now_ms, minimum_revision=revision)
     assert change_set is not None
     store.commit(change_set)
 
 
 def snapshots(count: int) -> list[Snapshot]:
-    """Snapshots of one list after each of so many changes."""
+    """Snapshots of one list, one after each of `count` changes."""
     store = store_with(entry("a"))
-    found = []
+    result = []
     for index in range(count):
         apply(store, False, entry("a", port=10 + index))
-        found.append(store.snapshot())
-    return found
+        result.append(store.snapshot())
+    return result
 
 
 def decoded_or_none(body: bytes | None) -> Response | None:
-    """A response body; None if there is none."""
+    """The content of a response body, or None without a body."""
     return None if body is None else decoded(body)
 
 
 def decoded(body: bytes | None) -> Response:
-    """A response body, which must be there."""
+    """The content of a response body, which must be present."""
     assert body is not None
     document = orjson.loads(body)
-    parse_upstream_list(document)  # nodes and followers must be able to read it
+    parse_upstream_list(document)  # raises an error if nodes and followers could not parse it
     states = {target["uid"]: target["state"] for target in document["targets"]}
     return Response(document["rev"], document["all"], states)
--- a/tests/discovery_server/cluster.py
+++ b/tests/discovery_server/cluster.py
@@ -1,4 +1,4 @@
-"""A cluster on loopback, in the test's own process: registries, discovery servers and their clients."""
+"""Registries, discovery servers and their clients on loopback, in the test's own process."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 
 
 def list_reply(revision: int, *uids: str, complete: bool = True) -> bytes:
-    """A response with an endpoint list of ready endpoints."""
+    """An HTTP response with a list of ready endpoints."""
     entries = targets(**dict.fromkeys(uids, ENDPOINT))
     return reply(200, orjson.dumps({"rev": revision, "all": complete, "targets": entries}))
 
 
 class Registry(LoopbackServer):
-    """Responds to watches as the protocol says, always with the complete list."""
+    """A registry that implements the watch protocol and always responds with the complete list."""
 
     def __init__(self, *uids: str) -> None:
         super().__init__(self.respond)
@@ -42,14 +42,14 @@
         self._changed = asyncio.Event()
 
     def set_endpoints(self, *uids: str, revision: int | None = None) -> None:
-        """Change the list; the revision goes up by one unless it is given."""
+        """Change the list; the revision increases by one unless it is given."""
         self.revision = self.revision + 1 if revision is None else revision
         self._uids = uids
         self._changed.set()
         self._changed = asyncio.Event()
 
     async def respond(self, message: Message) -> bytes:
-        """The response to a request: at once, or after the next change for a client that is up to date."""
+        """The response to a request: immediate, or after the next change for a client that is up to date."""
         query = dict(part.split("=") for part in message.first[1].partition("?")[2].split("&") if part)
         if query.get("since") == str(self.revision):
             with contextlib.suppress(TimeoutError):
@@ -59,7 +59,7 @@
 
 
 class ListResponse(NamedTuple):
-    """A response with a list: its revision, whether it is complete, the uids of its entries."""
+    """The list in a response: its revision, whether it is complete, and the uids of its entries."""
 
     revision: int
     complete: bool
@@ -122,7 +122,7 @@
         return None
 
     async def wait_closed(self) -> bool:
-        """True once the server has closed the connection; reads and drops what it sends until then."""
+        """Wait until the server closes the connection, and discard what it sends; always returns True."""
         with contextlib.suppress(ConnectionError):
             while await self.reader.read(1 << 20):
                 pass
@@ -139,7 +139,7 @@
 
 
 async def get(server: DiscoveryServer, target: str = HOSTS) -> Message:
-    """The response to a request on a connection of its own."""
+    """The response to a request on a new connection."""
     async with await Client.connect(address_of(server)) as client:
         return await client.get(target)
 
@@ -152,7 +152,7 @@
 async def discovery_server(
     state_dir: Path, *upstreams: str, list_limits: ListLimits | None = None, **process_limits: Any
 ) -> AsyncIterator[DiscoveryServer]:
-    """A discovery server of one list, as long as the context lasts."""
+    """A discovery server with one list, which is closed at the end of the context."""
     config = Config(
         str(state_dir),
         (ListConfig(LIST_NAME, "127.0.0.1:0", tuple(upstreams)),),
@@ -169,7 +169,7 @@
 
 
 class Cluster:
-    """Starts registries, discovery servers and clients, and closes them, latest first, at its own end."""
+    """Starts registries, discovery servers and clients, and closes them in reverse order at the end."""
 
     def __init__(self, directory: Path) -> None:
         self.directory = directory
@@ -186,16 +186,16 @@
         return await self._stack.enter_async_context(Registry(*uids))
 
     async def upstream(self, script: Script) -> LoopbackServer:
-        """A running upstream that responds as its script says."""
+        """A running upstream whose responses come from this script."""
         return await self._stack.enter_async_context(LoopbackServer(script))
 
     async def server(self, *upstreams: str, name: str = "server", **limits: Any) -> DiscoveryServer:
-        """A running discovery server; its state directory has this name."""
+        """A running discovery server, whose state directory has this name."""
         context = discovery_server(self.directory / name, *upstreams, **limits)
         return await self._stack.enter_async_context(context)
 
     async def ready_server(self, *upstreams: str, name: str = "server", **limits: Any) -> DiscoveryServer:
-        """A running discovery server that has its list."""
+        """A running discovery server that has received its list."""
         server = await self.server(*upstreams, name=name, **limits)
         await until(lambda: server.ready)
         return server
@@ -205,7 +205,7 @@
         return await self._stack.enter_async_context(await Client.connect(address_of(server)))
 
     def connect_without_reading(self, server: DiscoveryServer) -> socket.socket:
-        """A socket with a small receive buffer, connected to this server."""
+        """A connected socket with a small receive buffer, from which nothing is read."""
         connected = self._stack.enter_context(socket.socket())
         connected.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         connected.connect(address_of(server))
@@ -215,7 +215,7 @@
     async def start_watch(
         self, server: DiscoveryServer, since: int, client: Client | None = None
     ) -> asyncio.Task[ListResponse]:
-        """A watch that the server has registered; on a connection of its own unless one is given."""
+        """Start a watch and wait until the server has registered it; without `client` on a new connection."""
         client = client or await self.connect(server)
         before = server.statistics().waiting_watches
         watch = self._start_task(client.watch(since))
@@ -225,7 +225,7 @@
     async def start_watches(
         self, server: DiscoveryServer, since: int, count: int
     ) -> list[asyncio.Task[ListResponse]]:
-        """Watches that the server has registered, each on a connection of its own."""
+        """Start watches, each on a new connection, and wait until the server has registered them."""
         return [await self.start_watch(server, since) for _ in range(count)]
 
     def _start_task(self, coroutine: Coroutine[Any, Any, _Result]) -> asyncio.Task[_Result]:
@@ -235,7 +235,7 @@
 
 
 async def _cancel(task: asyncio.Task[Any]) -> None:
-    """End a task; its result or its error is the test's, which awaits it."""
+    """Cancel a task and retrieve its error, which only a test that awaits the task reports."""
     task.cancel()
     await asyncio.wait({task})
     if not task.cancelled():
--- a/tests/discovery_server/conftest.py
+++ b/tests/discovery_server/conftest.py
@@ -12,6 +12,6 @@
 
 @pytest.fixture
 async def cluster(tmp_path: Path) -> AsyncIterator[Cluster]:
-    """A cluster without processes yet, which closes at the end what the test has started in it."""
+    """A cluster without servers, which closes at the end of the test what the test starts in it."""
     async with Cluster(tmp_path) as cluster:
         yield cluster
--- a/tests/discovery_server/processes.py
+++ b/tests/discovery_server/processes.py
@@ -1,4 +1,4 @@
-"""Discovery servers in processes of their own, and what their log says."""
+"""Discovery servers as separate processes, and readers of their log."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Exit(NamedTuple):
-    """How a process ended: its exit code, and the text on its standard error."""
+    """The exit code of a process, and its output on standard error."""
 
     code: int
     errors: str
@@ -36,7 +36,7 @@
 
 @contextlib.contextmanager
 def running_process(directory: Path, settings: str) -> Iterator[subprocess.Popen[str]]:
-    """A discovery server's process with this configuration, which is killed at the end if it still runs."""
+    """A discovery server's process with this configuration, which is killed at the end of the context."""
     file = directory / "config.toml"
     file.write_text(settings)
     command = [sys.executable, "-m", "loadbalancer.discovery_server", str(file)]
@@ -48,7 +48,7 @@
 
 
 def run_until_exit(directory: Path, settings: str) -> Exit:
-    """Run a process that ends by itself."""
+    """Run a process until it exits by itself."""
     with running_process(directory, settings) as process:
         _, errors = process.communicate(timeout=PROCESS_EXIT_S)
     return Exit(process.returncode, errors)
@@ -64,11 +64,11 @@
 
 
 async def listening_address(process: subprocess.Popen[str]) -> Address:
-    """Where the process serves its list, by its log."""
+    """The address on which the process serves its list, read from its log."""
     host, _, port = (await log_event(process, "listening"))["address"].rpartition(":")
     return Address(host, int(port))
 
 
 async def exit_code(process: subprocess.Popen[str]) -> int:
-    """The exit code of a process that is about to end."""
+    """Wait until a process exits; returns its exit code."""
     return await asyncio.to_thread(process.wait, PROCESS_EXIT_S)
