--- a/tests/discovery_server/test_config.py
+++ b/tests/discovery_server/test_config.py
@@ -1,4 +1,4 @@
-"""The configuration file: the example of the page, and the setting that an error names."""
+"""The configuration file: the documented example, and the setting that an error names."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 
 def example():
-    """The configuration file on the page."""
+    """The configuration file in the documentation."""
     (block,) = re.findall(r"```toml\n(.*?)```", PAGE.read_text(), flags=re.DOTALL)
     return block
 
 
-def test_example_of_the_page_gives_the_defaults():
+def test_documented_example_has_the_default_settings():
     config = parse_config(example().encode())
     assert [endpoint_list.name for endpoint_list in config.lists] == ["checkout", "stock"]
     assert config == Config(config.state_dir, config.lists, tag=7, seed=1)
@@ -32,12 +32,12 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "place"),
+    ("old", "new", "setting"),
     [
-        pytest.param("wait_ms = 3000", 'wait_ms = "soon"', "$.wait_ms", id="a text for a number"),
+        pytest.param("wait_ms = 3000", 'wait_ms = "soon"', "$.wait_ms", id="a string for a number"),
         pytest.param("wait_ms = 3000", "wait_ms = 60001", "$.wait_ms", id="a duration over its limit"),
         pytest.param("wait_ms = 3000", "wiat_ms = 3000", "wiat_ms", id="an unknown key"),
-        pytest.param("id = 7", "id = 131072", "$.id", id="an id of too many bits"),
+        pytest.param("id = 7", "id = 131072", "$.id", id="an id with too many bits"),
         pytest.param("entries = 20000", "entries = 0", "$.limits.entries", id="a limit of 0"),
         pytest.param("watches = 4000", "watches = -1", "$.process.watches", id="a negative limit"),
         pytest.param('name = "stock"', 'name = "checkout"', "$.lists[1].name", id="a repeated name"),
@@ -55,10 +55,10 @@
         pytest.param("[limits]", "[limits", "line 7", id="malformed TOML"),
     ],
 )
-def test_bad_configuration_names_the_setting(old, new, place):
+def test_bad_configuration_names_the_setting(old, new, setting):
     text = example()
     assert old in text
-    with pytest.raises(ConfigurationError, match=re.escape(place)) as raised:
+    with pytest.raises(ConfigurationError, match=re.escape(setting)) as raised:
         parse_config(text.replace(old, new, 1).encode())
-    if place.startswith("$"):
-        assert raised.value.path == place
+    if setting.startswith("$"):
+        assert raised.value.path == setting
