--- a/tests/discovery_server/test_dependencies.py
+++ b/tests/discovery_server/test_dependencies.py
@@ -1,4 +1,4 @@
-"""Imports: the proxy imports nothing of the discovery server, which imports only the layers below it."""
+"""Import rules: the proxy doesn't import the discovery server, which imports only the layers below it."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 MODULES = sorted((ROOT / "loadbalancer" / "discovery_server").glob("*.py"))
 
 
-def test_proxy_imports_nothing_of_the_discovery_server():
+def test_proxy_does_not_import_the_discovery_server_or_its_libraries():
     script = "import sys, loadbalancer.__main__; print(*sys.modules)"
     run = subprocess.run([sys.executable, "-c", script], cwd=ROOT, capture_output=True, text=True, check=True)
     names = set(run.stdout.split())
