--- a/tests/discovery_server/test_endpoint_store.py
+++ b/tests/discovery_server/test_endpoint_store.py
@@ -1,4 +1,4 @@
-"""Responses of an endpoint store: deltas, complete lists, limits of the list and of its change log."""
+"""Responses of an endpoint store: deltas, complete lists, and the limits of the list and its change log."""
 
 from __future__ import annotations
 
@@ -75,8 +75,8 @@
     complete = [decoded(store.responses.since(revision)).complete for revision in revisions[:-1]]
     assert complete == sorted(complete, reverse=True)
     assert 2 <= complete.count(False) <= 8
-    again = restored(store.snapshot(), **limits)
-    assert [decoded_or_none(again.responses.since(revision)) for revision in revisions] == [
+    reloaded = restored(store.snapshot(), **limits)
+    assert [decoded_or_none(reloaded.responses.since(revision)) for revision in revisions] == [
         decoded_or_none(store.responses.since(revision)) for revision in revisions
     ]
 
@@ -87,9 +87,9 @@
         with pytest.raises(ListLimitError):
             apply(store, False, *(entry(uid) for uid in uids))
     apply(store, False, entry("c"), entry("a", "Gone"))
-    small = restored(store.snapshot(), max_entries=1)
-    apply(small, True, entry("c"))
-    assert list(small.records) == ["c"]
+    over_limit = restored(store.snapshot(), max_entries=1)
+    apply(over_limit, True, entry("c"))
+    assert list(over_limit.records) == ["c"]
 
 
 def test_changes_before_a_complete_list_are_rejected():
