--- a/tests/discovery_server/test_main.py
+++ b/tests/discovery_server/test_main.py
@@ -31,7 +31,7 @@
         async with await Client.connect(address) as client, await Client.connect(address) as other_client:
             revision = (await client.get_list()).revision
             client.send_watch(revision)
-            await other_client.get()  # the server has read the watch before this request
+            await other_client.get()  # its response shows that the server has read the watch
             process.terminate()
             message = await client.read()
             assert (list_response(message), message.headers["connection"]) == ((revision, False, []), "close")
@@ -45,7 +45,7 @@
         await log_event(process, "change committed")
         async with await Client.connect(address) as client:
             client.send_watch((await client.get_list()).revision)
-            client.send(HOSTS)  # its response follows the watch's, and proves that the watch was read
+            client.send(HOSTS)  # pipelined: the server reads it after the watch
             registry.set_endpoints("a", "b")
             later, _, uids = list_response(await client.read())
             assert uids == ["b"]
@@ -61,17 +61,17 @@
         assert await exit_code(process) == 0
 
 
-def test_bad_configuration_is_one_line_and_exit_code_2(tmp_path):
-    ended = run_until_exit(tmp_path, "lists = []")
-    assert ended.code == 2
-    assert len(ended.errors.splitlines()) == 1
-    assert ended.errors.endswith("- at `$.lists`\n")
+def test_bad_configuration_exits_with_code_2_and_a_one_line_error(tmp_path):
+    result = run_until_exit(tmp_path, "lists = []")
+    assert result.code == 2
+    assert len(result.errors.splitlines()) == 1
+    assert result.errors.endswith("- at `$.lists`\n")
 
 
-def test_state_directory_serves_one_process(settings, tmp_path):
+def test_process_exits_with_code_1_if_another_one_holds_the_state_directory(settings, tmp_path):
     state = tmp_path / "state"
     state.mkdir()
     with (state / "lock").open("wb") as lock:
         fcntl.flock(lock, fcntl.LOCK_EX)
-        ended = run_until_exit(tmp_path, settings)
-    assert (ended.code, len(ended.errors.splitlines())) == (1, 1)
+        result = run_until_exit(tmp_path, settings)
+    assert (result.code, len(result.errors.splitlines())) == (1, 1)
