--- a/tests/discovery_server/test_revisions.py
+++ b/tests/discovery_server/test_revisions.py
@@ -1,4 +1,4 @@
-"""Revisions never go back and never belong to two states, with any clock, disk and clients."""
+"""Revisions increase and are never issued for two lists, whatever the clock, the disk and the clients do."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     "clock",
     [
         pytest.param([NOW_MS] * 9, id="stopped"),
-        pytest.param([NOW_MS - index * 1e9 for index in range(9)], id="going back"),
+        pytest.param([NOW_MS - index * 1e9 for index in range(9)], id="running backwards"),
         pytest.param([0.0] * 9, id="before the epoch"),
         pytest.param([EPOCH_MS + 6.5e11] * 9, id="20 years later"),
     ],
@@ -46,8 +46,8 @@
     assert {revision % (1 << TAG_BITS) for revision in revisions} == {TAG}
 
 
-def test_lost_disk_brings_no_revision_back():
-    """The earlier process issued 50 revisions at one moment, and their snapshots are lost."""
+def test_revisions_lost_with_the_disk_are_not_issued_again():
+    """A process issues 50 revisions at the same clock reading, and their snapshots are lost."""
     start_ms, restart_ms = NOW_MS - 1000.0, NOW_MS + 1.0
     old = store_with(entry("a"), now_ms=start_ms)
     lost = [apply(old, False, entry("a", port=10 + index)) for index in range(50)]
@@ -63,8 +63,8 @@
 
 
 @pytest.mark.parametrize("remaining", ["an older snapshot", "nothing"])
-def test_lost_revision_later_than_the_clock_is_not_issued_again(remaining):
-    """The earlier process issued revisions five minutes beyond the clock; the last five are lost."""
+def test_lost_revision_ahead_of_the_clock_is_not_issued_again(remaining):
+    """A process issues revisions five minutes ahead of the clock, and the last five are lost."""
     old = store_with(entry("a"))
     advance_past(old, old.revision + (30_000 << TAG_BITS))
     snapshot = old.snapshot()
@@ -81,14 +81,14 @@
     assert [decoded(new.responses.since(revision)).complete for revision in lost] == [True] * 5
 
 
-def test_prepared_revision_is_not_issued_for_another_state():
-    """A client of another server advances the revision during the write, and the process is killed."""
+def test_prepared_revision_is_not_issued_for_another_list():
+    """During the snapshot write a client of another server advances the revision; the process is killed."""
     store = store_with(entry("a"), now_ms=NOW_MS - 61_300.0)
     change_set = store.prepare([update(False, entry("b"))], NOW_MS)
     snapshot = store.snapshot(change_set)
     advance_past(store, store.revision + 1)
-    again = restored(snapshot)
-    assert again.revision != store.revision
+    reloaded = restored(snapshot)
+    assert reloaded.revision != store.revision
 
 
 def test_newer_revision_of_a_client_is_exceeded_unless_no_clock_can_have_issued_it():
@@ -108,7 +108,7 @@
 
 
 def test_revision_advanced_for_a_client_is_not_issued_again_after_a_restart_of_one_second():
-    """The revision is not stored, and the process is killed."""
+    """The process is killed before the revision is stored."""
     old = store_with(entry("a"))
     snapshot = old.snapshot()
     advance_past(old, old.revision + 77)
