--- a/tests/discovery_server/test_server.py
+++ b/tests/discovery_server/test_server.py
@@ -1,4 +1,4 @@
-"""Discovery servers on loopback: registry, region, zone and nodes; restarts, and upstreams that fail."""
+"""Discovery servers on loopback: propagation of changes, restarts, and upstreams that fail."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
 
 
 @pytest.fixture
-async def node_of():
-    """Starts a node that follows a discovery server, and closes it at the end of the test."""
+async def start_node():
+    """A function that starts a node of a discovery server; the node is closed at the end of the test."""
     nodes = []
 
     async def start(server):
@@ -58,11 +58,11 @@
         yield bound
 
 
-async def test_change_goes_from_the_registry_by_region_and_zone_to_watches_and_a_node(cluster, node_of):
+async def test_change_propagates_through_region_and_zone_to_watches_and_a_node(cluster, start_node):
     registry = await cluster.registry("a")
     region = await cluster.ready_server(registry.endpoint, name="region")
     zone = await cluster.ready_server(endpoint_of(region), name="zone")
-    node = await node_of(zone)
+    node = await start_node(zone)
     await until(lambda: set(node.policy.endpoints.by_name) == {"a"})
     revision, complete, uids = await get_list(zone)
     assert (complete, uids) == (True, ["a"])
@@ -93,22 +93,22 @@
         client = await cluster.connect(server)
         assert (await client.watch(first.revision, timeout_ms=1)).revision == first.revision
         watch = await cluster.start_watch(server, first.revision, client)
-        async with contextlib.aclosing(Registry("a", "b", "c")) as returned:
-            await returned.start(refusing_socket)
+        async with contextlib.aclosing(Registry("a", "b", "c")) as restarted_registry:
+            await restarted_registry.start(refusing_socket)
             later, complete, uids = await watch
         assert (later > first.revision, complete, uids) == (True, False, ["c"])
 
 
 async def test_server_without_a_list_responds_503(cluster):
-    silent = await cluster.upstream(lambda _: asyncio.Event().wait())
-    server = await cluster.server(silent.endpoint)
+    unresponsive = await cluster.upstream(lambda _: asyncio.Event().wait())
+    server = await cluster.server(unresponsive.endpoint)
     message = await get(server)
     assert (message.status, message.headers["retry-after"]) == (503, "1.000")
     assert (await get(server, "/up")).status == 503
 
 
 async def test_next_upstream_is_followed_from_its_complete_list_and_revisions_increase(cluster):
-    """Both count their revisions alike and hold other lists; then the second counts from the start again."""
+    """The upstreams have one revision for different lists; later the second one's revision decreases."""
     first, second = await cluster.registry("a", "b"), await cluster.registry("b", "c")
     first.revision = second.revision = 5
     server = await cluster.ready_server(first.endpoint, second.endpoint)
@@ -126,7 +126,7 @@
 
 
 class FaultyUpstream(LoopbackServer):
-    """Sends the unusable responses first, and then those of the registry."""
+    """An upstream that sends the unusable responses first, and then those of the registry."""
 
     def __init__(self, registry):
         super().__init__(self.respond)
@@ -142,7 +142,7 @@
         return self.unusable.pop(0) if self.unusable else await self.registry.respond(message)
 
 
-async def test_malformed_or_too_long_lists_of_an_upstream_change_nothing(cluster, monkeypatch):
+async def test_malformed_or_oversized_lists_of_an_upstream_are_ignored(cluster, monkeypatch):
     monkeypatch.setattr(upstream_selector, "MAX_BACKOFF_S", 0.1)
     registry = Registry("a")
     async with FaultyUpstream(registry) as upstream:
