--- a/tests/discovery_server/test_snapshot_store.py
+++ b/tests/discovery_server/test_snapshot_store.py
@@ -28,7 +28,7 @@
     store_with,
 )
 
-# Written by the version before the renames: three entries, a change of one, a removal with an addition.
+# Written before fields were renamed: three entries, then a change of one, then a removal with an addition.
 PREVIOUS_VERSION = Path(__file__).parent / "data" / "previous_version.snapshot"
 
 
@@ -38,12 +38,12 @@
     snapshot = store.snapshot()
     data = snapshot_store.encode(snapshot)
     assert snapshot_store.decode(data, LIST_NAME) == snapshot
-    damaged = [data[:length] for length in range(len(data))] + [data + b"\0"]
+    corrupt = [data[:length] for length in range(len(data))] + [data + b"\0"]
     for index in range(len(data)):
-        damaged += [data[:index] + bytes([data[index] ^ 1 << bit]) + data[index + 1 :] for bit in range(8)]
-    for bad in damaged:
+        corrupt += [data[:index] + bytes([data[index] ^ 1 << bit]) + data[index + 1 :] for bit in range(8)]
+    for corrupt_data in corrupt:
         with pytest.raises(SnapshotError):
-            snapshot_store.decode(bad, LIST_NAME)
+            snapshot_store.decode(corrupt_data, LIST_NAME)
     with pytest.raises(SnapshotError, match=f"of the list 't', found '{LIST_NAME}'"):
         snapshot_store.decode(data, "t")
 
@@ -53,8 +53,8 @@
     return SnapshotStore(tmp_path, LIST_NAME)
 
 
-def damaged(path, damage):
-    """Damage a file in each way of this kind, one after the other."""
+def damage_each_way(path, damage):
+    """Damage a file in each way of this kind; yields after each of them."""
     data = path.read_bytes()
     for length in range(len(data)) if damage == "cut" else [0]:
         path.unlink(missing_ok=True)
@@ -67,8 +67,8 @@
         yield
 
 
-def loaded(store):
-    """The result of another process that loads the files of this store."""
+def reloaded(store):
+    """What another process loads from the files of this store."""
     return SnapshotStore(store.newest.parent, LIST_NAME).load()
 
 
@@ -77,7 +77,7 @@
     assert store.load() == (None, [])
     store.write(one)
     store.write(two)
-    assert loaded(store) == (two, [])
+    assert reloaded(store) == (two, [])
 
 
 @pytest.mark.parametrize("damage", ["cut", "flipped", "empty", "missing", "unreadable"])
@@ -85,17 +85,17 @@
     one, two = snapshots(2)
     store.write(one)
     store.write(two)
-    for _ in damaged(store.newest, damage):
-        snapshot, errors = loaded(store)
+    for _ in damage_each_way(store.newest, damage):
+        snapshot, errors = reloaded(store)
         assert (snapshot, len(errors)) == (one, damage != "missing")
 
 
 @pytest.mark.parametrize("damage", ["cut", "flipped", "empty", "missing", "unreadable"])
-def test_previous_snapshot_stays_until_another_valid_one_is_written(store, damage):
+def test_previous_snapshot_is_retained_until_another_valid_one_is_written(store, damage):
     one, two, three, four = snapshots(4)
     store.write(one)
     store.write(two)
-    for _ in damaged(store.newest, damage):
+    for _ in damage_each_way(store.newest, damage):
         again = SnapshotStore(store.newest.parent, LIST_NAME)
         again.load()
     if damage == "unreadable":
@@ -103,26 +103,26 @@
     again.write(three)
     newest_data = store.newest.read_bytes()
     store.newest.write_bytes(newest_data[:-1])
-    assert loaded(store).snapshot == one, "a damaged file replaced the valid one"
+    assert reloaded(store).snapshot == one, "a damaged snapshot replaced the valid one"
     store.newest.write_bytes(newest_data)
     again.write(four)
-    assert loaded(store) == (four, [])
+    assert reloaded(store) == (four, [])
     store.newest.unlink()
-    assert loaded(store) == (three, [])
+    assert reloaded(store) == (three, [])
 
 
 def test_failed_write_does_not_change_the_files(store, monkeypatch):
     one, two = snapshots(2)
     store.write(one)
 
-    def full(_):
+    def fail_with_full_disk(_):
         raise OSError(28, "No space left on device")
 
-    monkeypatch.setattr(os, "fsync", full)
+    monkeypatch.setattr(os, "fsync", fail_with_full_disk)
     with pytest.raises(OSError, match="No space"):
         store.write(two)
     monkeypatch.undo()
-    assert loaded(store) == (one, [])
+    assert reloaded(store) == (one, [])
 
 
 def test_stored_fields_keep_their_names():
@@ -162,8 +162,8 @@
     assert responses.since(last) is None
 
 
-def test_list_of_the_previous_version_continues_by_the_gap_above_its_stored_revision():
-    """Its snapshot has no lead, and revisions above the stored one may have been used."""
+def test_list_of_the_previous_version_continues_one_gap_above_its_stored_revision():
+    """Its snapshot stores no lead, and revisions above the stored one may have been issued."""
     snapshot = snapshot_store.decode(PREVIOUS_VERSION.read_bytes(), LIST_NAME)
     assert snapshot.lead_ticks == 0
     stored_ms = EPOCH_MS + (tick_count(snapshot.revision) - STARTUP_LEAD_TICKS) * CLOCK_TICK_MS
