--- a/tests/discovery_server/test_state_directory.py
+++ b/tests/discovery_server/test_state_directory.py
@@ -1,4 +1,4 @@
-"""The lock of a state directory."""
+"""The lock that reserves a state directory for one process."""
 
 from __future__ import annotations
 
