--- a/tests/discovery_server/test_statistics.py
+++ b/tests/discovery_server/test_statistics.py
@@ -1,4 +1,4 @@
-"""The statistics of a server, and its log event with them."""
+"""The statistics of a server, and the log event that reports them."""
 
 from __future__ import annotations
 
@@ -35,9 +35,9 @@
     )
 
 
-async def test_statistics_of_a_server_without_a_list_show_what_is_missing(cluster):
-    silent = await cluster.upstream(lambda _: asyncio.Event().wait())
-    statistics = (await cluster.server(silent.endpoint)).statistics()
+async def test_statistics_of_a_server_without_a_list_count_no_initialized_list_or_upstream(cluster):
+    unresponsive = await cluster.upstream(lambda _: asyncio.Event().wait())
+    statistics = (await cluster.server(unresponsive.endpoint)).statistics()
     assert (statistics.lists, statistics.initialized_lists, statistics.connected_upstreams) == (1, 0, 0)
 
 
