--- a/tests/discovery_server/test_update_pipeline.py
+++ b/tests/discovery_server/test_update_pipeline.py
@@ -1,4 +1,4 @@
-"""Revisions that rise above a client's: no later process issues them again, and watches are notified."""
+"""Revisions advanced past a client's: no later process issues them again, and watches are notified."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 from tests.support.loopback import until
 
 OTHER_TAG = 77
-EXCESS_TICKS = 30_000  # 5 min beyond the current revision
+EXCESS_TICKS = 30_000  # 5 min ahead of the current revision
 
 
 @pytest.fixture
 def model_cluster(monkeypatch):
-    """A cluster whose snapshots are not synced: no test here ends the machine, and a disk can take long."""
+    """A cluster without fsync, which can take long: no test here depends on a crash of the machine."""
     monkeypatch.setattr(os, "fsync", lambda _: None)
     model_cluster = ModelCluster()
     yield model_cluster
@@ -41,7 +41,7 @@
 
 @pytest.fixture
 def server(model_cluster):
-    """A server that has just received and stored its first list."""
+    """A server that has received and stored its first list."""
     model_cluster.registry.set("a", "Ready")
     server = ModelServer(model_cluster, "server", 0, [model_cluster.registry])
     server.poll_upstream_and_run()
@@ -60,7 +60,7 @@
 
 
 def revision_served_after(server, revision):
-    """The revision of the complete list that a client with this revision of another server receives."""
+    """The revision of the complete list that the server sends to a client with another server's revision."""
     document = orjson.loads(server.cluster.call(server.response_since, revision))
     assert document["all"]
     assert document["rev"] > revision
@@ -68,7 +68,7 @@
 
 
 def serve_client_exceeding(server, ticks):
-    """Serve a client whose revision is ahead by so many ticks, at its second request at the latest."""
+    """Serve a client whose revision is `ticks` ahead, at its first or second request."""
     client_revision = revision_exceeding(server, ticks)
     try:
         revision_served_after(server, client_revision)
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize("ticks", [REVISION_GAP_TICKS, EXCESS_TICKS])
-def test_client_that_exceeds_the_lead_is_served_once_both_snapshots_state_a_longer_lead(server, ticks):
+def test_client_that_exceeds_the_lead_is_served_once_both_snapshots_store_a_longer_lead(server, ticks):
     client_revision = revision_exceeding(server, ticks)
     before = server.store.revision
     server.disk.slow = True
@@ -113,7 +113,7 @@
 
 
 def test_clients_that_exceed_the_lead_before_and_after_a_restart_get_no_common_revision(server):
-    """Both hold one revision of another server; the first one's response is not on the disk."""
+    """Both have one revision of another server; the restart loses the snapshot write for the first one."""
     client_revision = revision_exceeding(server, EXCESS_TICKS)
     server.disk.slow = True
     with pytest.raises(ConnectionError):
@@ -128,7 +128,7 @@
 
 
 @pytest.mark.parametrize("fault", ["full", "slow"])
-def test_client_that_exceeds_the_lead_is_not_served_before_a_failed_disk_works_again(server, fault):
+def test_client_that_exceeds_the_lead_is_not_served_until_a_failed_disk_recovers(server, fault):
     client_revision = revision_exceeding(server, EXCESS_TICKS)
     setattr(server.disk, fault, True)
     for _ in range(3):
@@ -144,7 +144,7 @@
 @pytest.mark.parametrize("full", [False, True])
 @pytest.mark.parametrize("damage", ["none", "newest lost"])
 def test_restarts_that_exceed_the_lead_issue_no_revision_twice(server, full, damage):
-    """Each process issues its first revisions while its disk is full or works, and then loses a file."""
+    """Each process issues its first revisions with a full or a working disk, and may then lose a file."""
     serve_client_exceeding(server, EXCESS_TICKS)
     change(server, "a")
     for uid in "bcd":
@@ -157,7 +157,7 @@
     assert not server.cluster.faults
 
 
-def test_watch_from_before_the_change_log_is_notified_when_revisions_advance_for_clients(
+def test_watch_older_than_the_change_log_is_notified_when_revisions_advance_for_clients(
     model_cluster, server
 ):
     node = ModelNode(model_cluster, server)
