--- a/tests/discovery_server/test_upstream_follower.py
+++ b/tests/discovery_server/test_upstream_follower.py
@@ -1,4 +1,4 @@
-"""The upstream follower while its upstreams are down, in model time: how late a change is notified."""
+"""The upstream follower during outages of its upstreams, in model time: the delay of notifications."""
 
 from __future__ import annotations
 
@@ -14,26 +14,26 @@
 from tests.support.model_time import FAULTS, DiscoveryModel, ModelLoop, run_in_model_time
 
 WATCH_TIMEOUT_MS = 3000.0
-NOTIFICATION_LIMIT_S = 6.0  # of 8 s from the registry to everywhere
+NOTIFICATION_LIMIT_S = 6.0  # of the 8 s from the registry to all nodes
 UPSTREAMS = [Address("127.0.0.1", 1), Address("127.0.0.1", 2)]
 OUTAGE_S = 600.0
 MAX_REQUESTS_PER_S = 2.5 / MAX_BACKOFF_S
 
 
 class Upstream(DiscoveryModel):
-    """Responds to the first request of a connection, which has no query, as to one from revision 0."""
+    """Responds to a connection's first request, which has no query, as to a watch since revision 0."""
 
     def on_request(self, transport, text):
         super().on_request(transport, text.replace("/hosts HTTP", "/hosts?since=0&timeout_ms=0 HTTP"))
 
 
 class FollowedUpstreams:
-    """A follower of some upstreams that fail alike; a context manager that closes it.
+    """A follower of upstreams that have the same fault; a context manager that closes it.
 
     Attributes:
-        model: What responds at every upstream's address.
-        updates: The follower's updates.
-        connected: The follower's changes of status: whether an upstream is connected.
+        model: Responds at the address of every upstream.
+        updates: The updates from the follower.
+        connected: Whether an upstream is connected, for each status from the follower.
     """
 
     def __init__(self, fault: str, rng: Random, count: int) -> None:
@@ -56,7 +56,7 @@
 
     async def __aexit__(self, *_error: object) -> None:
         self.follower.close()
-        await asyncio.sleep(1.0)  # both ends of the connections are closed in the turns of this time
+        await asyncio.sleep(1.0)  # lets the event loop close both ends of the connections
 
     def _on_update(self, update: EndpointUpdate) -> None:
         self.updates.append(update)
@@ -68,12 +68,12 @@
         await self._updated.wait()
 
     def uids_since(self, first_update: int) -> set[str]:
-        """The endpoints in the updates from this one on."""
+        """The uids in the updates from this index on."""
         return {record.uid for update in self.updates[first_update:] for record in update.records}
 
 
-async def notification_delay(fault, failed_requests, after_s, count, rng):
-    """Seconds from the upstream's return, `after_s` after these failed requests, to its change."""
+async def notification_delay(fault, failed_requests, recovery_s, count, rng):
+    """Seconds until a change is notified whose upstream recovers `recovery_s` after these failed requests."""
     loop = asyncio.get_running_loop()
     async with FollowedUpstreams(fault, rng, count) as upstreams:
         model = upstreams.model
@@ -82,19 +82,19 @@
         await asyncio.sleep(rng.uniform(0.0, 1.0))
         model.go_down()
         await model.wait_for_attempts(failed_requests)
-        await asyncio.sleep(after_s)
+        await asyncio.sleep(recovery_s)
         model.up, model.revision = True, 3
         updates_before = len(upstreams.updates)
-        returned_at = loop.time()
+        recovered_at = loop.time()
         while "s3" not in upstreams.uids_since(updates_before):
             await upstreams.wait_for_update()
-        delay_s = loop.time() - returned_at
+        delay_s = loop.time() - recovered_at
     assert (upstreams.connected[0], upstreams.connected[-1]) == (True, True)
     return delay_s
 
 
 async def requests_in_an_outage(fault):
-    """The requests that upstreams get while they are down for `OUTAGE_S` from the start."""
+    """The number of requests to upstreams that are down for the first `OUTAGE_S`."""
     async with FollowedUpstreams(fault, Random(1), 2) as upstreams:
         upstreams.model.up = False
         upstreams.follower.start()
@@ -106,19 +106,19 @@
 
 @pytest.mark.parametrize("count", [1, 2])
 @pytest.mark.parametrize("fault", FAULTS)
-def test_change_is_notified_in_time_whatever_failed_before(fault, count):
+def test_change_is_notified_in_time_after_any_number_of_failed_requests(fault, count):
     rng = Random(f"{fault} {count}")
     delays = {}
     for failed_requests in range(8):
-        for after_s in (0.001, rng.uniform(0.0, 4.0), rng.uniform(0.0, 4.0)):
-            delay_s = run_in_model_time(notification_delay(fault, failed_requests, after_s, count, rng))
-            delays[delay_s] = (failed_requests, after_s)
+        for recovery_s in (0.001, rng.uniform(0.0, 4.0), rng.uniform(0.0, 4.0)):
+            delay_s = run_in_model_time(notification_delay(fault, failed_requests, recovery_s, count, rng))
+            delays[delay_s] = (failed_requests, recovery_s)
     longest_s, case = max(delays.items())
-    assert longest_s <= NOTIFICATION_LIMIT_S, f"{longest_s:.2f} s after the return: {case}"
+    assert longest_s <= NOTIFICATION_LIMIT_S, f"{longest_s:.2f} s after the recovery: {case}"
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_upstream_that_is_down_is_not_flooded_with_requests(fault):
+def test_request_rate_to_an_upstream_that_is_down_is_bounded(fault):
     requests = run_in_model_time(requests_in_an_outage(fault))
     assert requests / OUTAGE_S <= MAX_REQUESTS_PER_S
 
@@ -136,7 +136,7 @@
 
 
 async def reject_updates(rng, count):
-    """Reject updates one after the other."""
+    """Have a follower restart after each of `count` rejected updates."""
     async with FollowedUpstreams("refused", rng, 1) as upstreams:
         for _ in range(count):
             upstreams.follower.restart_after_rejection()
