--- a/tests/discovery_server/test_upstream_selector.py
+++ b/tests/discovery_server/test_upstream_selector.py
@@ -12,7 +12,7 @@
 
 
 def backoffs_after(failures, seed):
-    """The backoff after each of these failures in a row."""
+    """The backoff after each of `failures` consecutive failures."""
     selector = UpstreamSelector(UPSTREAMS, Random(seed))
     backoffs = []
     for _ in range(failures):
@@ -22,12 +22,12 @@
 
 
 def first_backoffs():
-    """The backoff after a first failure, of many followers, in ascending order."""
+    """The backoffs of many followers after their first failure, in ascending order."""
     return sorted(backoffs_after(1, seed)[0] for seed in range(1000))
 
 
 def late_backoffs():
-    """The backoff after many failures, of many followers, in ascending order."""
+    """The backoffs of many followers after many failures, in ascending order."""
     return sorted(backoffs_after(2000, seed)[-1] for seed in range(200))
 
 
@@ -40,9 +40,9 @@
     "backoffs", [pytest.param(first_backoffs, id="first"), pytest.param(late_backoffs, id="late")]
 )
 def test_no_tenth_of_the_longest_backoff_has_more_than_a_quarter_of_the_followers(backoffs):
-    spread = backoffs()
-    tenths = [int(10 * backoff_s / spread[-1]) for backoff_s in spread]
-    assert max(tenths.count(tenth) for tenth in range(10)) <= len(spread) / 4
+    sorted_backoffs = backoffs()
+    tenths = [int(10 * backoff_s / sorted_backoffs[-1]) for backoff_s in sorted_backoffs]
+    assert max(tenths.count(tenth) for tenth in range(10)) <= len(sorted_backoffs) / 4
 
 
 def test_backoff_is_reproducible_by_its_seed():
