--- a/tests/discovery_server/test_watch_query.py
+++ b/tests/discovery_server/test_watch_query.py
@@ -1,4 +1,4 @@
-"""Queries of the discovery protocol."""
+"""Parsing of watch queries: defaults, limits, and the message for each malformed query."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     ("query", "message"),
     [
         pytest.param(b"since=", "malformed `since`: .*, found b''", id="no revision"),
-        pytest.param(b"since=x", "malformed `since`: .*, found b'x'", id="a text for a revision"),
+        pytest.param(b"since=x", "malformed `since`: .*, found b'x'", id="a string for a revision"),
         pytest.param(b"since=1&since=1", "`since` occurs twice", id="a repeated revision"),
         pytest.param(
             b"since=" + b"9" * 19, "malformed `since`: .* 1 to 18 digits", id="a revision of too many digits"
