--- a/tests/discovery_server/test_watch_registry.py
+++ b/tests/discovery_server/test_watch_registry.py
@@ -1,4 +1,4 @@
-"""Waiting watches: shared encodings, batches, deadlines, the limit and disconnected clients."""
+"""Waiting watches: shared encodings, batches, deadlines, the limit, and clients that disconnect."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from loadbalancer.discovery_server.watch_registry import DEADLINE_TICK_MS, Watch, WatchRegistry
 from tests.discovery_server.builders import apply, decoded, entry, store_with
 
-TWENTY = [entry(f"s{index}") for index in range(20)]
+TWENTY_ENTRIES = [entry(f"s{index}") for index in range(20)]
 
 
 class WatchClients:
@@ -25,7 +25,7 @@
         return watch
 
 
-def watched(*entries, limit=1000):
+def registry_with_clients(*entries, limit=1000):
     store, registry = store_with(*entries), WatchRegistry(limit)
     return store, registry, WatchClients(store, registry)
 
@@ -36,7 +36,7 @@
 
 
 def test_one_encoding_serves_all_watches_of_a_revision():
-    store, registry, clients = watched(*TWENTY)
+    store, registry, clients = registry_with_clients(*TWENTY_ENTRIES)
     for _ in range(100):
         clients.add()
     before = store.responses.encodings
@@ -53,8 +53,8 @@
     assert store.responses.encodings - before == 2
 
 
-def test_burst_of_changes_makes_one_response_also_between_batches():
-    store, registry, clients = watched(*TWENTY)
+def test_burst_of_changes_is_merged_into_one_response_even_between_batches():
+    store, registry, clients = registry_with_clients(*TWENTY_ENTRIES)
     for _ in range(10):
         clients.add()
     for uid in "bcd":
@@ -67,7 +67,7 @@
 
 
 def test_watches_expire_at_their_deadline_in_order_and_once():
-    _, registry, clients = watched(entry("a"))
+    _, registry, clients = registry_with_clients(entry("a"))
     rng, deadlines = Random(1), []
     for _ in range(300):
         deadlines.append(rng.uniform(1.0, 60_000.0))
@@ -76,13 +76,13 @@
     registry.cancel(cancelled)
     registry.cancel(cancelled)
     completed = 0
-    while (due_ms := registry.next_deadline_ms) is not None:
-        assert due_ms - DEADLINE_TICK_MS < sorted(deadlines)[completed] <= due_ms
-        registry.expire(due_ms)
-        registry.expire(due_ms)
+    while (expiry_ms := registry.next_deadline_ms) is not None:
+        assert expiry_ms - DEADLINE_TICK_MS < sorted(deadlines)[completed] <= expiry_ms
+        registry.expire(expiry_ms)
+        registry.expire(expiry_ms)
         registry.flush(1000)
         completed = len(clients.bodies)
-        assert completed == sum(deadline <= due_ms for deadline in deadlines)
+        assert completed == sum(deadline <= expiry_ms for deadline in deadlines)
     assert (completed, registry.count) == (300, 0)
 
 
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize(
-    ("end", "responses"),
+    ("end_watches", "responses"),
     [
         pytest.param(
             lambda registry, watches: change(watches[0].store, registry, str(watches[0].revision)),
@@ -104,19 +104,19 @@
         pytest.param(lambda registry, _: registry.complete_all(), 2, id="shutdown"),
     ],
 )
-def test_watches_are_limited_and_each_end_frees_a_place(end, responses):
-    store, registry, clients = watched(entry("a"), limit=2)
+def test_watches_are_limited_and_ended_watches_free_their_slots(end_watches, responses):
+    store, registry, clients = registry_with_clients(entry("a"), limit=2)
     for _ in range(2):
         clients.bodies.clear()
         watches = [clients.add() for _ in range(2)]
         assert not registry.add(Watch(store, store.revision, clients.bodies.append), 9.0)
-        end(registry, watches)
+        end_watches(registry, watches)
         registry.flush(9)
         assert (registry.count, len(clients.bodies), registry.outbox_size) == (0, responses, 0)
 
 
 def test_client_that_disconnects_before_the_flush_gets_no_response():
-    store, registry, clients = watched(entry("a"), limit=9)
+    store, registry, clients = registry_with_clients(entry("a"), limit=9)
     watches = [clients.add() for _ in range(3)]
     change(store, registry, "b")
     registry.cancel(watches[1])
