--- a/tests/http/test_client_connection.py
+++ b/tests/http/test_client_connection.py
@@ -18,24 +18,24 @@
 
 
 class EndlessBackend(LoopbackServer):
-    """A backend that sends `response` to the first request of a connection, then `more` without end."""
+    """A backend that sends `response` to the first request of a connection, then `repeated` endlessly."""
 
-    def __init__(self, response: bytes, more: bytes) -> None:
+    def __init__(self, response: bytes, repeated: bytes) -> None:
         super().__init__()
         self._response = response
-        self._more = more
+        self._repeated = repeated
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_message(reader)
         writer.write(self._response)
-        while self._more and not writer.transport.is_closing():
-            writer.write(self._more)
+        while self._repeated and not writer.transport.is_closing():
+            writer.write(self._repeated)
             await asyncio.sleep(0)
 
 
-async def attempt_and_pooled_connections(response: bytes, more: bytes = b"") -> tuple[AttemptResult, int]:
-    """One attempt's result and the number of connections pooled after it."""
-    async with EndlessBackend(response, more) as server:
+async def attempt_and_pooled_connections(response: bytes, repeated: bytes = b"") -> tuple[AttemptResult, int]:
+    """The result of one attempt, and the number of pooled connections after it."""
+    async with EndlessBackend(response, repeated) as server:
         with contextlib.closing(make_pool()) as pool:
             pool.add("s", server.address)
             result = await attempt_result(pool, data=POST)
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize(
-    ("response", "more"),
+    ("response", "repeated"),
     [
         pytest.param(OK_HEAD + b"X-Endless: ", b"y" * 1000, id="endless header"),
         pytest.param(OK_HEAD, b"X-Pad: y\r\n", id="endless head"),
@@ -65,16 +65,16 @@
         pytest.param(OK_HEAD + b"no colon\r\nContent-Length: 0\r\n\r\n", b"", id="malformed header"),
     ],
 )
-async def test_unusable_response_resets_the_attempt_and_ends_its_connection(response, more):
-    assert await attempt_and_pooled_connections(response, more) == (AttemptResult.RESET, 0)
+async def test_unusable_response_resets_the_attempt_and_closes_its_connection(response, repeated):
+    assert await attempt_and_pooled_connections(response, repeated) == (AttemptResult.RESET, 0)
 
 
 @pytest.mark.parametrize(
-    "behind",
+    "trailing",
     [
         pytest.param(reply(), id="second response"),
         pytest.param(os.urandom(40) + b"\r\n\r\n", id="random bytes"),
     ],
 )
-async def test_bytes_behind_a_complete_response_end_the_connection(behind):
-    assert await attempt_and_pooled_connections(reply() + behind) == (AttemptResult.OK, 0)
+async def test_bytes_after_a_complete_response_close_the_connection(trailing):
+    assert await attempt_and_pooled_connections(reply() + trailing) == (AttemptResult.OK, 0)
