--- a/tests/http/test_listener.py
+++ b/tests/http/test_listener.py
@@ -1,4 +1,4 @@
-"""Time-outs, eviction, and several listening sockets under one connection limit."""
+"""Time-outs, eviction, and several listening sockets with one connection limit."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @contextlib.asynccontextmanager
 async def open_listener(limit: int):
-    """A listener that is closed with its connections at the end."""
+    """A listener, which is closed with its connections at the end of the context."""
     listener = HttpListener(limit, respond_with_context)
     try:
         yield listener
@@ -30,7 +30,7 @@
             connection.abort()
 
 
-async def test_each_connection_carries_the_context_of_its_listening_socket():
+async def test_each_connection_has_the_context_of_its_listening_socket():
     bodies = []
     async with open_listener(10) as listener:
         for context in ("first", "second"):
@@ -86,7 +86,9 @@
 
 
 async def test_unidentified_clients_are_evicted_before_identified_ones(backend, monkeypatch):
-    monkeypatch.setattr(request_timeouts, "REQUEST_TIMEOUT_S", 60.0)  # so that only eviction ends them
+    monkeypatch.setattr(
+        request_timeouts, "REQUEST_TIMEOUT_S", 60.0
+    )  # so that only eviction closes connections
     async with running_proxy(backend, limits={"sockets": 132}) as proxy:
         identified = await HttpClient.to(proxy)
         assert (await identified.send(request(name="q0"))).status == 200
@@ -94,7 +96,7 @@
         for client in unidentified[1::2]:
             client.writer.write(b"GET /read/1 HTTP/1.1\r\n")
         await until(lambda: len(proxy.listener.connections) == proxy.listener.limit)
-        # The identified client's connection is not among those that were evicted.
+        # The identified client's connection is not evicted.
         assert (await identified.send(request(name="q1"))).status == 200
         assert (await send_request(proxy, request(name="q2"))).status == 200
         assert proxy.statistics.requests_over_limit == 0
