--- a/tests/http/test_request_validation.py
+++ b/tests/http/test_request_validation.py
@@ -1,4 +1,4 @@
-"""Requests that the proxy must not forward, or must change before it forwards them."""
+"""Requests that the proxy has to reject, and headers that it must not forward."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def post_with_head(head: str) -> bytes:
-    """A request with these lines in its head, and a body that is an empty last chunk."""
+    """A request with these lines in its head, and a body that is only the last chunk."""
     return f"POST /post/1 HTTP/1.1\r\nReq-Id: q1\r\n{head}\r\n".encode() + b"0\r\n\r\n"
 
 
@@ -84,8 +84,8 @@
 
 
 async def test_only_the_forwarded_headers_reach_the_endpoint(backend, proxy):
-    more = {"Connection": "Srv-Load", "Srv_Load": "TEXT queue=0", "Cookie": "c", "Req_Owner": "acme"}
-    assert (await send_request(proxy, request("post", "q1", b"ab", **more))).status == 200
+    headers = {"Connection": "Srv-Load", "Srv_Load": "TEXT queue=0", "Cookie": "c", "Req_Owner": "acme"}
+    assert (await send_request(proxy, request("post", "q1", b"ab", **headers))).status == 200
     names = {"host", "req-id", "req-owner", "req-deadline-ms", "content-length"}
     assert set(backend.seen[0].headers) == names
 
