--- a/tests/http/test_server_connection.py
+++ b/tests/http/test_server_connection.py
@@ -1,4 +1,4 @@
-"""Pipelined requests on a downstream connection, and the release of lost connections."""
+"""Pipelined requests on a downstream connection, and the memory of closed connections."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     assert await client.reader.read() == b""
 
 
-async def test_disconnect_behind_a_pipelined_request_cancels_both(backend, proxy):
+async def test_disconnect_after_a_pipelined_request_cancels_both_requests(backend, proxy):
     client = await HttpClient.to(proxy)
     client.writer.write(request("post", "q1") + request("post", "q2"))
     await until(lambda: backend.seen)
@@ -38,13 +38,13 @@
     assert len(backend.seen) == 1
 
 
-async def test_lost_connections_are_freed_without_the_garbage_collector(backend, proxy):
+async def test_closed_connections_are_freed_without_the_garbage_collector(backend, proxy):
     backend.release.set()
     client = await HttpClient.to(proxy)
     assert (await client.send(request("post", "q1"))).status == 200
-    (inbound,), (outbound,) = proxy.listener.connections, proxy.pool._open
-    references = [weakref.ref(inbound), weakref.ref(outbound)]
-    del inbound, outbound
+    (downstream,), (upstream,) = proxy.listener.connections, proxy.pool._open
+    references = [weakref.ref(downstream), weakref.ref(upstream)]
+    del downstream, upstream
     client.writer.close()
     proxy.pool.remove("s0")
     gc.disable()
