--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Parsing of the endpoint list: what is read, and the field for which a malformed list is rejected."""
+"""Parsing of endpoint lists: the endpoints, and the field that the error for a malformed list names."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
         pytest.param(message(targets=[5]), "targets", id="target no object"),
     ],
 )
-def test_malformed_list_is_rejected_with_the_field_at_fault(malformed, field):
+def test_malformed_list_is_rejected_with_the_name_of_its_field(malformed, field):
     with pytest.raises(EndpointListError) as caught:
         parse_endpoint_list(malformed)
     assert caught.value.field == field
