--- a/tests/discovery/test_watch_client.py
+++ b/tests/discovery/test_watch_client.py
@@ -1,4 +1,4 @@
-"""The watch by itself: which revisions it requests, and which responses it accepts."""
+"""The watch client without a proxy: the revisions that it requests, and the responses that it accepts."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 ENDPOINT = ("127.0.0.1:9", "Ready")
 COMPLETE = endpoint_list_response(5, True, a=ENDPOINT)
 DELTA = endpoint_list_response(6, False, b=ENDPOINT)
-CLOSED = None  # the connection, without a response
+CLOSED = None  # in place of a response: the connection is closed without one
 
 
 @pytest.mark.parametrize(
@@ -26,21 +26,21 @@
             [COMPLETE, DELTA, CLOSED, DELTA],
             ["1", "5", "6", "6", "6"],
             "full delta failed delta",
-            id="revision kept over connections",
+            id="revision retained across connections",
         ),
         pytest.param(
             True,
             [COMPLETE, DELTA, CLOSED, COMPLETE, DELTA],
             ["", "5", "6", "", "5", "6"],
             "full delta failed full delta",
-            id="refreshed on each connection",
+            id="complete list on each connection",
         ),
         pytest.param(
             True,
             [DELTA, COMPLETE],
             ["", "", "5"],
             "failed full",
-            id="delta in place of a complete list rejected",
+            id="delta rejected in place of a complete list",
         ),
     ],
 )
