--- a/tests/discovery/test_watch_timing.py
+++ b/tests/discovery/test_watch_timing.py
@@ -1,4 +1,4 @@
-"""The longest delay of a notification: a complete proxy whose discovery fails, in model time.
+"""The longest notification delay of a proxy during outages of discovery, in model time.
 
 The proxy, its watch and its policy are those of the program.
 """
@@ -20,17 +20,17 @@
 from tests.support.model_time import FAULTS, DiscoveryModel, model_loop, run_in_model_time
 from tests.support.proxy_config import config
 
-NOTIFICATION_LIMIT_S = 5.0  # 6 s are required; a proxy on a small share of a core needs the rest
+NOTIFICATION_LIMIT_S = 5.0  # of the 6 s allowed; the rest is for a proxy on a small share of a core
 MODES = pytest.mark.parametrize("mode", ["push", "ask"])
 
 
 @dataclass(frozen=True)
 class Outage:
-    """When discovery goes down, and when it is back: some time after a number of failed attempts."""
+    """When discovery goes down, and when it recovers: a delay after a number of failed attempts."""
 
-    place: str
+    phase: str
     failed_attempts: int
-    return_delay_s: float
+    recovery_delay_s: float
 
 
 def make_proxy(mode: str, fault: str, rng: Random) -> tuple[Proxy, DiscoveryModel]:
@@ -40,26 +40,26 @@
 
 
 async def notification_delay(mode: str, fault: str, outage: Outage, rng: Random) -> float:
-    """Seconds from the return of discovery until the proxy has the change."""
+    """Seconds from the recovery of discovery until the proxy has received the change."""
     proxy, discovery = make_proxy(mode, fault, rng)
     proxy.policy = policy = ObservedPolicy(proxy, "s3")
-    at_start = outage.place == "first request"
-    discovery.up = not at_start
+    down_at_start = outage.phase == "first request"
+    discovery.up = not down_at_start
     await proxy.start()
-    if not at_start:
+    if not down_at_start:
         discovery.revision = 2
-        await discovery.wait_for_attempts(2)  # the second one waits its full time
+        await discovery.wait_for_attempts(2)  # the second one is a pending watch
         await asyncio.sleep(0.001)
         discovery.go_down()
-    await discovery.wait_for_attempts(outage.failed_attempts + at_start)
-    if outage.place == "after a change of address":
+    await discovery.wait_for_attempts(outage.failed_attempts + down_at_start)
+    if outage.phase == "after a change of address":
         await change_address(proxy, discovery, rng)
-    await asyncio.sleep(outage.return_delay_s)
+    await asyncio.sleep(outage.recovery_delay_s)
     discovery.up, discovery.revision = True, 3
-    returned_at = proxy.loop.time()
+    recovered_at = proxy.loop.time()
     await policy.notified.wait()
     proxy.close()
-    return proxy.loop.time() - returned_at
+    return proxy.loop.time() - recovered_at
 
 
 async def change_address(proxy: Proxy, discovery: DiscoveryModel, rng: Random) -> None:
@@ -88,10 +88,10 @@
 def longest_notification_delay(mode: str, fault: str) -> tuple[float, Outage]:
     rng = Random(f"{mode} {fault}")
     delays = {}
-    for place in ("first request", "later request", "after a change of address"):
+    for phase in ("first request", "later request", "after a change of address"):
         for failed_attempts in range(8):
-            for return_delay_s in (0.001, rng.uniform(0.0, 5.0)):
-                outage = Outage(place, failed_attempts, return_delay_s)
+            for recovery_delay_s in (0.001, rng.uniform(0.0, 5.0)):
+                outage = Outage(phase, failed_attempts, recovery_delay_s)
                 delay_s = run_in_model_time(notification_delay(mode, fault, outage, rng))
                 delays[delay_s] = outage
     longest_s = max(delays)
@@ -100,15 +100,15 @@
 
 @MODES
 @pytest.mark.parametrize("fault", FAULTS)
-def test_change_is_notified_in_time_whatever_requests_failed_before(mode, fault, monkeypatch):
-    """Discovery is back immediately after an attempt has been sent, or at a random time."""
+def test_change_is_notified_in_time_after_any_number_of_failed_requests(mode, fault, monkeypatch):
+    """Discovery recovers immediately after an attempt is sent, or after a random delay."""
     monkeypatch.setattr(statistics, "HEARTBEAT_INTERVAL_S", 3600.0)
     delay_s, outage = longest_notification_delay(mode, fault)
-    assert delay_s <= NOTIFICATION_LIMIT_S, f"notified {delay_s:.2f} s after discovery's return: {outage}"
+    assert delay_s <= NOTIFICATION_LIMIT_S, f"notified {delay_s:.2f} s after discovery's recovery: {outage}"
 
 
 async def attempts_per_minute(mode: str, fault: str) -> float:
-    """With discovery up where there is no fault, else down."""
+    """Attempts per minute while discovery is up (no fault), or is down with this fault."""
     proxy, discovery = make_proxy(mode, fault, Random(1))
     discovery.up = not fault
     await proxy.start()
@@ -124,7 +124,7 @@
 
 @pytest.mark.parametrize("fault", FAULTS)
 def test_polling_backs_off_while_discovery_is_down(fault):
-    """Backoffs grow, whatever part of the time budget the requests themselves take."""
+    """Backoffs grow, however much of the time budget the requests themselves take."""
     assert run_in_model_time(attempts_per_minute("ask", fault)) <= 21.0
 
 
@@ -139,8 +139,8 @@
     assert 2000.0 <= delay_ms <= 4000.0
 
 
-async def respond_to_a_late_event_loop(mode: str) -> Proxy:
-    """Let the loop's next turn, in which the response is read, start after the time limit of the request."""
+async def respond_to_a_delayed_event_loop(mode: str) -> Proxy:
+    """Delay the event loop iteration that reads the response until after the request's time limit."""
     proxy, discovery = make_proxy(mode, "", Random(1))
     await proxy.start()
     await discovery.wait_for_attempts(1)
@@ -155,7 +155,7 @@
 
 
 @MODES
-def test_response_that_has_arrived_is_used_by_an_event_loop_that_is_late(mode):
-    proxy = run_in_model_time(respond_to_a_late_event_loop(mode))
+def test_response_that_has_arrived_is_used_by_a_delayed_event_loop(mode):
+    proxy = run_in_model_time(respond_to_a_delayed_event_loop(mode))
     assert proxy.statistics.endpoint_lists[UpdateKind.UNAVAILABLE] == 0
     assert set(proxy.policy.endpoints.by_name) == {"s2"}
