--- a/tests/http/test_listener.py
+++ b/tests/http/test_listener.py
@@ -86,9 +86,7 @@
 
 
 async def test_unidentified_clients_are_evicted_before_identified_ones(backend, monkeypatch):
-    monkeypatch.setattr(
-        request_timeouts, "REQUEST_TIMEOUT_S", 60.0
-    )  # so that only eviction closes connections
+    monkeypatch.setattr(request_timeouts, "REQUEST_TIMEOUT_S", 60.0)  # so that only eviction closes them
     async with running_proxy(backend, limits={"sockets": 132}) as proxy:
         identified = await HttpClient.to(proxy)
         assert (await identified.send(request(name="q0"))).status == 200
