--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -46,7 +46,7 @@
         pytest.param(message(targets=[5]), "targets", id="target no object"),
     ],
 )
-def test_malformed_list_is_rejected_with_the_name_of_its_field(malformed, field):
+def test_malformed_list_is_rejected_with_the_name_of_the_field(malformed, field):
     with pytest.raises(EndpointListError) as caught:
         parse_endpoint_list(malformed)
     assert caught.value.field == field
--- a/tests/discovery_server/test_frontend.py
+++ b/tests/discovery_server/test_frontend.py
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize(("request_bytes", "status"), MALFORMED_REQUESTS)
-async def test_malformed_request_is_rejected_with_its_connection_and_watches_are_still_notified(
+async def test_malformed_request_closes_its_connection_and_watches_are_still_notified(
     server, registry, watches, request_bytes, status
 ):
     async with await Client.connect(address_of(server)) as client:
