--- a/benchmarks/hollow/measurement.py
+++ b/benchmarks/hollow/measurement.py
@@ -37,29 +37,29 @@
     plan = run.plan
     memory_before_mib = await run.start()
     memory_mib = run.memory_mib()
-    calm = await run.run_steady(plan.calm_s, DAY_S / CHANGES_PER_DAY)
+    baseline = await run.run_steady(plan.calm_s, DAY_S / CHANGES_PER_DAY)
     rate = await run.run_steady(plan.rate_s, 1.0 / plan.rate)
     return HollowRecord(
         counts=counts,
         memory_before_mib=memory_before_mib,
         memory_mib=memory_mib,
-        calm=steady_figures(calm, calm),
-        rate=steady_figures(rate, calm),
-        events=await _measure_events(run, calm),
+        baseline=steady_figures(baseline, baseline),
+        rate=steady_figures(rate, baseline),
+        events=await _measure_events(run, baseline),
         end_memory_mib=run.memory_mib(),
         logged_problems=run.server.logged_problems(),
         load_after=os.getloadavg()[0],
     )
 
 
-async def _measure_events(run: HollowRun, calm: Phase) -> EventsRecord:
+async def _measure_events(run: HollowRun, baseline: Phase) -> EventsRecord:
     bursts = [await run.run_burst(zone_number) for zone_number in range(run.plan.bursts)]
     restarts = [await run.run_restart() for _ in range(run.plan.restarts)]
     serving_after_s = max((restart.serving_after_s for restart in restarts), default=None)
     return EventsRecord(
-        burst=event_figures([burst.loss for burst in bursts], calm),
-        recovery=event_figures([burst.recovery for burst in bursts], calm),
-        restart=event_figures([restart.phase for restart in restarts], calm),
+        burst=event_figures([burst.loss for burst in bursts], baseline),
+        recovery=event_figures([burst.recovery for burst in bursts], baseline),
+        restart=event_figures([restart.phase for restart in restarts], baseline),
         restart_serving_ms=None if serving_after_s is None else serving_after_s * MILLISECONDS_PER_S,
     )
 
--- a/benchmarks/hollow/records.py
+++ b/benchmarks/hollow/records.py
@@ -17,7 +17,7 @@
     """The processor time of one role in a steady phase."""
 
     ms_per_s: float
-    ms_per_change: float | None  # None: not computed for the calm phase, or without changes
+    ms_per_change: float | None  # None: not computed for the baseline phase, or without changes
 
 
 class SteadyTraffic(Record, frozen=True, kw_only=True):
@@ -52,30 +52,30 @@
         return row | self.traffic.row() | self.deliveries.row()
 
 
-def steady_figures(phase: Phase, calm: Phase) -> SteadyFigures:
+def steady_figures(phase: Phase, baseline: Phase) -> SteadyFigures:
     """Return the figures of a phase of steady changes.
 
     Args:
         phase: The phase.
-        calm: The phase with the fewest changes, which shows the cost of a response without a change.
+        baseline: The phase with the fewest changes, which shows the cost of a response without a change.
     """
     return SteadyFigures(
         changes=phase.changes,
-        costs={role: _role_cost(role, phase, calm) for role in phase.cpu_s},
+        costs={role: _role_cost(role, phase, baseline) for role in phase.cpu_s},
         traffic=_steady_traffic(phase),
         deliveries=phase.deliveries.figures(),
     )
 
 
-def _role_cost(role: str, phase: Phase, calm: Phase) -> RoleCost:
+def _role_cost(role: str, phase: Phase, baseline: Phase) -> RoleCost:
     cpu_s = phase.cpu_s[role]
     ms_per_s = cpu_s * MILLISECONDS_PER_S / phase.seconds
-    if phase is calm or not phase.changes:
+    if phase is baseline or not phase.changes:
         return RoleCost(ms_per_s, None)
     responses = phase.total(lambda counters: counters.responses)
     changed_responses = phase.total(lambda counters: counters.changed_responses)
-    calm_responses = calm.total(lambda counters: counters.responses)
-    unchanged_s = calm.cpu_s[role] / max(1, calm_responses) * (responses - changed_responses)
+    baseline_responses = baseline.total(lambda counters: counters.responses)
+    unchanged_s = baseline.cpu_s[role] / max(1, baseline_responses) * (responses - changed_responses)
     return RoleCost(ms_per_s, (cpu_s - unchanged_s) * MILLISECONDS_PER_S / phase.changes)
 
 
@@ -111,7 +111,7 @@
 class EventFigures:
     """The figures of several bursts or restarts.
 
-    Costs are means of the cost of one event beyond the calm phase; times are of all events together.
+    Costs are means of the cost of one event beyond the baseline phase; times are of all events together.
     """
 
     cpu_ms: dict[str, float]  # processor time of one event by role
@@ -124,12 +124,12 @@
         return costs | self.traffic.row() | self.deliveries.row()
 
 
-def event_figures(phases: Sequence[Phase], calm: Phase) -> EventFigures | None:
+def event_figures(phases: Sequence[Phase], baseline: Phase) -> EventFigures | None:
     """Return the figures of several bursts or restarts; None if there are none.
 
     Args:
         phases: One for each event.
-        calm: The phase with the fewest changes.
+        baseline: The phase with the fewest changes.
     """
     if not phases:
         return None
@@ -137,17 +137,17 @@
     for phase in phases:
         deliveries.merge(phase.deliveries)
     events = len(phases)
-    calm_phases = sum(phase.seconds for phase in phases) / calm.seconds
+    baseline_periods = sum(phase.seconds for phase in phases) / baseline.seconds
     cpu_ms = {}
     for role in phases[0].cpu_s:
-        extra_s = sum(phase.cpu_s[role] for phase in phases) - calm.cpu_s[role] * calm_phases
+        extra_s = sum(phase.cpu_s[role] for phase in phases) - baseline.cpu_s[role] * baseline_periods
         cpu_ms[role] = extra_s * MILLISECONDS_PER_S / events
-    return EventFigures(cpu_ms, _event_traffic(phases, calm, calm_phases), deliveries.figures())
+    return EventFigures(cpu_ms, _event_traffic(phases, baseline, baseline_periods), deliveries.figures())
 
 
-def _event_traffic(phases: Sequence[Phase], calm: Phase, calm_phases: float) -> EventTraffic:
+def _event_traffic(phases: Sequence[Phase], baseline: Phase, baseline_periods: float) -> EventTraffic:
     events = len(phases)
-    extra_s = sum(phase.hollow_cpu_s for phase in phases) - calm.hollow_cpu_s * calm_phases
+    extra_s = sum(phase.hollow_cpu_s for phase in phases) - baseline.hollow_cpu_s * baseline_periods
     counters = [counters for phase in phases for counters in phase.counters]
     return EventTraffic(
         hollow_cpu_ms=extra_s * MILLISECONDS_PER_S / events,
@@ -199,7 +199,7 @@
     counts: WatchCounts
     memory_before_mib: dict[str, float]  # before the watches
     memory_mib: dict[str, float]  # with the watches
-    calm: SteadyFigures
+    baseline: SteadyFigures
     rate: SteadyFigures
     events: EventsRecord
     end_memory_mib: dict[str, float]
@@ -214,7 +214,7 @@
             **self.counts.row(),
             **{f"{role}_rss_before_mib": mib for role, mib in self.memory_before_mib.items()},
             **memory_row,
-            **prefix_keys("calm_", self.calm.row()),
+            **prefix_keys("calm_", self.baseline.row()),
             **prefix_keys("rate_", self.rate.row()),
             **self.events.row(),
             **end_memory_row,
