--- a/benchmarks/control/following_node.py
+++ b/benchmarks/control/following_node.py
@@ -83,8 +83,8 @@
         loop = asyncio.get_running_loop()
         started, count = loop.time(), round(per_s * seconds)
         for index in range(count):
-            due = started + (index + 0.5) / per_s
-            await asyncio.sleep(max(0.0, due - loop.time()))
+            scheduled_at = started + (index + 0.5) / per_s
+            await asyncio.sleep(max(0.0, scheduled_at - loop.time()))
             self.change(self.churn.next_changes(1, int(time.time() * MILLISECONDS_PER_S)))
         await asyncio.sleep(max(0.0, started + seconds - loop.time()))
 
--- a/benchmarks/hollow/change_deliveries.py
+++ b/benchmarks/hollow/change_deliveries.py
@@ -21,7 +21,7 @@
     p99_ms: float | None
     last_ms: float | None
     read_last_ms: float | None
-    due: int
+    expected: int = msgspec.field(name="due")
     missed: int
     repeated: int = msgspec.field(name="again")
 
@@ -30,7 +30,7 @@
 class ChangeDeliveries:
     """The deliveries of several changes; times are in seconds from a change's writing."""
 
-    due: int = 0  # deliveries, one for each change and watch of its lists
+    expected: int = 0  # deliveries, one for each change and watch of its lists
     delivered: int = 0
     repeated: int = 0  # times that a watch received a change again as a delta
     times_s: list[float] = field(default_factory=list)  # of each delivery, until the node had parsed it
@@ -44,20 +44,20 @@
             written_at_s: When it was written, by the clock of the parts.
             parts: Its delivery to each process of hollow nodes.
         """
-        due = sum(part.due for part in parts)
+        expected = sum(part.expected for part in parts)
         delivered = sum(part.delivered for part in parts)
-        self.due += due
+        self.expected += expected
         self.delivered += delivered
         self.repeated += sum(part.repeated for part in parts)
         times_s = [moment - written_at_s for part in parts for moment in part.delivered_at_s]
         self.times_s += times_s
         self.read_times_s += [moment - written_at_s for part in parts for moment in part.read_at_s]
-        if due and delivered == due:
+        if expected and delivered == expected:
             self.last_times_s.append(max(times_s))
 
     def merge(self, other: ChangeDeliveries) -> None:
         """Add the changes of another object to these."""
-        self.due += other.due
+        self.expected += other.expected
         self.delivered += other.delivered
         self.repeated += other.repeated
         self.times_s += other.times_s
@@ -71,8 +71,8 @@
             p99_ms=_quantile_ms(self.times_s, 0.99),
             last_ms=_quantile_ms(self.last_times_s, 1.0),
             read_last_ms=_quantile_ms(self.read_times_s, 1.0),
-            due=self.due,
-            missed=self.due - self.delivered,
+            expected=self.expected,
+            missed=self.expected - self.delivered,
             repeated=self.repeated,
         )
 
--- a/benchmarks/hollow/messages.py
+++ b/benchmarks/hollow/messages.py
@@ -58,7 +58,7 @@
 class ChangeDelivery(msgspec.Struct):
     """The delivery of one change to the nodes of a process."""
 
-    due: int  # watches that the change concerns
+    expected: int  # watches that the change concerns
     delivered: int  # watches that have received it
     repeated: int = 0  # times that a watch received it again as a delta
     delivered_at_s: list[float] = []  # for each watch: when it was parsed and delivered
--- a/benchmarks/hollow/node_group.py
+++ b/benchmarks/hollow/node_group.py
@@ -33,14 +33,14 @@
 
     lists: frozenset[int]
     lost_zone: str
-    due: int  # watches that it concerns
+    expected: int  # watches that it concerns
     read_at_s: list[float] = field(default_factory=list)
     delivered_at_s: list[float] = field(default_factory=list)
     repeated: int = 0
 
     def delivery(self, *, with_times: bool) -> ChangeDelivery:
         """Return the counts, and on request the times of each watch."""
-        delivery = ChangeDelivery(self.due, len(self.delivered_at_s), self.repeated)
+        delivery = ChangeDelivery(self.expected, len(self.delivered_at_s), self.repeated)
         if with_times:
             delivery.delivered_at_s = self.delivered_at_s
             delivery.read_at_s = self.read_at_s
@@ -83,8 +83,8 @@
 
     def expect(self, change: ExpectChange) -> None:
         """Count the deliveries of a change from now on."""
-        due = sum(self._watches_by_list[number] for number in change.lists)
-        self._expected[change.serial] = ExpectedChange(frozenset(change.lists), change.lost_zone, due)
+        expected = sum(self._watches_by_list[number] for number in change.lists)
+        self._expected[change.serial] = ExpectedChange(frozenset(change.lists), change.lost_zone, expected)
 
     def count_update(self, node: HollowNode, endpoint_list: EndpointList | None) -> None:
         """Count an update that a node's watch has just delivered; None: the watch has failed."""
--- a/benchmarks/hollow/written_changes.py
+++ b/benchmarks/hollow/written_changes.py
@@ -59,7 +59,7 @@
     async def all_delivered(self) -> bool:
         """Return whether every change of this phase has reached all watches that it concerns."""
         return all(
-            delivery.delivered >= delivery.due
+            delivery.delivered >= delivery.expected
             for counters in await self._nodes.read_counters(clear=False)
             for delivery in counters.changes.values()
         )
--- a/benchmarks/support/open_loop.py
+++ b/benchmarks/support/open_loop.py
@@ -66,7 +66,7 @@
 
 @dataclass(slots=True, eq=False)
 class _Request:
-    due: float  # when it is due to be sent, by the loop's clock
+    scheduled_at: float  # when it is to be sent, by the loop's clock
     address: Address
     data: bytes
     repeats: int = 0
@@ -191,11 +191,11 @@
         requests = [encode_request(self._rng) for _ in range(count)]
         started = self._loop.time() + FIRST_REQUEST_DELAY_S
         for index, data in enumerate(requests):
-            due = started + index / rate
+            scheduled_at = started + index / rate
             # A late request is sent at once, but the loop has to read responses in between.
-            await asyncio.sleep(max(0.0, due - self._loop.time()))
-            result.send_delays_us.append((self._loop.time() - due) * MICROSECONDS_PER_S)
-            request = _Request(due, addresses[index % len(addresses)], data)
+            await asyncio.sleep(max(0.0, scheduled_at - self._loop.time()))
+            result.send_delays_us.append((self._loop.time() - scheduled_at) * MICROSECONDS_PER_S)
+            request = _Request(scheduled_at, addresses[index % len(addresses)], data)
             self._outstanding.add(request)
             self._dispatch(request)
         await self._drain(started + count / rate + self._drain_timeout_s)
@@ -289,6 +289,6 @@
     def _finish(self, request: _Request, status: int) -> None:
         if request in self._outstanding:
             self._outstanding.discard(request)
-            self._result.latencies_us.append((self._loop.time() - request.due) * MICROSECONDS_PER_S)
+            self._result.latencies_us.append((self._loop.time() - request.scheduled_at) * MICROSECONDS_PER_S)
             self._result.statuses[status] += 1
             self._request_finished.set()
--- a/tests/benchmarks/test_change_deliveries.py
+++ b/tests/benchmarks/test_change_deliveries.py
@@ -13,7 +13,7 @@
     deliveries = ChangeDeliveries()
     deliveries.add_change(10.0, [first, second])
     assert deliveries.last_times_s == [3.0]
-    assert (deliveries.due, deliveries.delivered, deliveries.repeated) == (3, 3, 1)
+    assert (deliveries.expected, deliveries.delivered, deliveries.repeated) == (3, 3, 1)
     deliveries.add_change(10.0, [incomplete])  # one watch never had it: there is no last delivery
     assert deliveries.last_times_s == [3.0]
     figures = deliveries.figures()
--- a/tests/benchmarks/test_hollow_nodes.py
+++ b/tests/benchmarks/test_hollow_nodes.py
@@ -67,7 +67,7 @@
 
 
 def counts(delivery):
-    return delivery.due, delivery.delivered, delivery.repeated
+    return delivery.expected, delivery.delivered, delivery.repeated
 
 
 async def test_change_is_counted_once_for_each_watch_of_its_list(start_lists):
--- a/tests/benchmarks/test_hollow_run.py
+++ b/tests/benchmarks/test_hollow_run.py
@@ -74,4 +74,4 @@
     plan = Plan(lists=1, servers=10, largest=10)
     run = HollowRun(plan, 1, PlainServer(tmp_path), LateNodes(changes_arrive), timing)
     figures = (await run.run_steady(0.02, 0.01)).deliveries.figures()
-    assert (figures.due, figures.missed, figures.repeated) == (2, missed, 0)
+    assert (figures.expected, figures.missed, figures.repeated) == (2, missed, 0)
