--- a/benchmarks/control/__main__.py
+++ b/benchmarks/control/__main__.py
@@ -42,10 +42,10 @@
 
 async def measure_all(plan: Plan, nodes: Sequence[FollowingNode]) -> ControlResults:
     """Measure steady rates of change, then complete lists, then losses on the largest list."""
-    cells = await run_rounds(plan, nodes)
+    measurements = await run_rounds(plan, nodes)
     for node in nodes:
-        node.idle_cores = statistics.mean(cells[ChangeRate(node.size, 0.0)].cores)
-    rates = rate_rows(plan, cells, nodes)
+        node.idle_cores = statistics.mean(measurements[ChangeRate(node.size, 0.0)].cores)
+    rates = rate_rows(plan, measurements, nodes)
     complete_lists = [await measure_complete_list(plan, node) for node in nodes]
     largest = nodes[-1]
     losses = [await measure_loss(plan, largest, count) for count in plan.losses if count <= largest.size]
--- a/benchmarks/control/measurement.py
+++ b/benchmarks/control/measurement.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True)
-class Cell:
+class RateMeasurements:
     """The measurements at a change rate; lists have an item for each round unless they say otherwise."""
 
     cores: list[float] = field(default_factory=list)  # in use
@@ -65,9 +65,9 @@
         )
 
 
-async def run_rounds(plan: Plan, nodes: Sequence[FollowingNode]) -> dict[ChangeRate, Cell]:
+async def run_rounds(plan: Plan, nodes: Sequence[FollowingNode]) -> dict[ChangeRate, RateMeasurements]:
     """Run all rates in turn, all nodes at once, round by round."""
-    cells: dict[ChangeRate, Cell] = defaultdict(Cell)
+    measurements: dict[ChangeRate, RateMeasurements] = defaultdict(RateMeasurements)
     for _ in range(plan.rounds):
         for rate in plan.rates:
             before = [UsageSnapshot.of(node) for node in nodes]
@@ -75,18 +75,18 @@
                 node.in_force_us.clear()
             await asyncio.gather(*(node.run_churn(rate, plan.seconds) for node in nodes))
             for node, snapshot in zip(nodes, before, strict=True):
-                _add_round(cells[ChangeRate(node.size, rate)], node, snapshot)
-    return cells
+                _add_round(measurements[ChangeRate(node.size, rate)], node, snapshot)
+    return measurements
 
 
-def _add_round(cell: Cell, node: FollowingNode, before: UsageSnapshot) -> None:
+def _add_round(measured: RateMeasurements, node: FollowingNode, before: UsageSnapshot) -> None:
     after = UsageSnapshot.of(node)
     elapsed_s = after.loop_s - before.loop_s
-    cell.cores.append((after.cpu_s - before.cpu_s) / elapsed_s)
-    cell.run_queue.append((after.run_queue_s - before.run_queue_s) / elapsed_s)
-    cell.bytes_per_s.append((after.bytes_exchanged - before.bytes_exchanged) / elapsed_s)
-    cell.in_force_us += node.in_force_us
-    cell.load_average.append(os.getloadavg()[0])
+    measured.cores.append((after.cpu_s - before.cpu_s) / elapsed_s)
+    measured.run_queue.append((after.run_queue_s - before.run_queue_s) / elapsed_s)
+    measured.bytes_per_s.append((after.bytes_exchanged - before.bytes_exchanged) / elapsed_s)
+    measured.in_force_us += node.in_force_us
+    measured.load_average.append(os.getloadavg()[0])
 
 
 async def measure_change(
--- a/benchmarks/control/report.py
+++ b/benchmarks/control/report.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from benchmarks.control.following_node import FollowingNode
-from benchmarks.control.measurement import MICROSECONDS_PER_MS, Cell
+from benchmarks.control.measurement import MICROSECONDS_PER_MS, RateMeasurements
 from benchmarks.control.plan import ChangeRate, Plan
 from benchmarks.support.open_loop import histogram
 from benchmarks.support.processes import resident_mib
@@ -61,32 +61,32 @@
 
 
 def rate_rows(
-    plan: Plan, cells: Mapping[ChangeRate, Cell], nodes: Sequence[FollowingNode]
+    plan: Plan, measurements: Mapping[ChangeRate, RateMeasurements], nodes: Sequence[FollowingNode]
 ) -> list[dict[str, object]]:
     """Return a row for each list size and rate of change."""
     memory_mib = {node.size: resident_mib(node.proxy.pid) for node in nodes}
     change_rates = [ChangeRate(size, rate) for size in plan.sizes for rate in plan.rates]
-    return [_rate_record(rate, cells[rate], memory_mib[rate.list_size]).row() for rate in change_rates]
+    return [_rate_record(rate, measurements[rate], memory_mib[rate.list_size]).row() for rate in change_rates]
 
 
-def _rate_record(change_rate: ChangeRate, cell: Cell, memory_mib: float) -> RateRecord:
-    cores, bytes_per_s = statistics.mean(cell.cores), statistics.mean(cell.bytes_per_s)
-    in_force = histogram(cell.in_force_us) if cell.in_force_us else None
+def _rate_record(change_rate: ChangeRate, measured: RateMeasurements, memory_mib: float) -> RateRecord:
+    cores, bytes_per_s = statistics.mean(measured.cores), statistics.mean(measured.bytes_per_s)
+    in_force = histogram(measured.in_force_us) if measured.in_force_us else None
     return RateRecord(
         list_size=change_rate.list_size,
         changes_per_s=change_rate.per_s,
         cores=cores,
-        cores_error=standard_error(cell.cores),
-        run_queue=statistics.mean(cell.run_queue),
+        cores_error=standard_error(measured.cores),
+        run_queue=statistics.mean(measured.run_queue),
         cores_of_budget=cores / BUDGET_CORES,
         bytes_per_s=bytes_per_s,
         bytes_of_budget=bytes_per_s / BUDGET_BYTES_PER_S,
         memory_mib=memory_mib,
         memory_of_budget=memory_mib / BUDGET_MIB,
-        changes=len(cell.in_force_us),
+        changes=len(measured.in_force_us),
         in_force_p50_ms=in_force.get_value_at_percentile(50.0) / MICROSECONDS_PER_MS if in_force else None,
         in_force_p99_ms=in_force.get_value_at_percentile(99.0) / MICROSECONDS_PER_MS if in_force else None,
-        load_average=statistics.mean(cell.load_average),
+        load_average=statistics.mean(measured.load_average),
     )
 
 
--- a/benchmarks/data_path/__main__.py
+++ b/benchmarks/data_path/__main__.py
@@ -39,10 +39,10 @@
         benchmark = DataPathBenchmark(plan, setup, setup.backend_addresses(DIRECT_BACKENDS))
         stop_garbage_collection()
         await benchmark.warm_up()
-        cells = await benchmark.run_rounds()
+        measurements = await benchmark.run_rounds()
         limit_sizes = dict.fromkeys((plan.sizes[0], plan.sizes[-1])) if plan.limit_s else ()
         limits = [await benchmark.find_rate_limit(size) for size in limit_sizes]
-        report(benchmark, cells, limits, out)
+        report(benchmark, measurements, limits, out)
 
 
 @click.command()
--- a/benchmarks/data_path/measurement.py
+++ b/benchmarks/data_path/measurement.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True)
-class Cell:
+class SliceMeasurements:
     """The measurements of one kind of slice; lists have an item for each round unless they say otherwise."""
 
     proxied_us: list[list[float]] = field(default_factory=list)  # latencies through the proxy
@@ -80,27 +80,27 @@
         per_request_us = MICROSECONDS_PER_S / len(result.latencies_us)
         return ProxiedSlice(result, cpu_s * per_request_us, run_queue_s * per_request_us, opened)
 
-    async def run_rounds(self) -> dict[SliceKind, Cell]:
+    async def run_rounds(self) -> dict[SliceKind, SliceMeasurements]:
         """Run all kinds of slices, direct and proxied in turn, in an order drawn for each round."""
-        cells: dict[SliceKind, Cell] = defaultdict(Cell)
+        measurements: dict[SliceKind, SliceMeasurements] = defaultdict(SliceMeasurements)
         rng = Random(self.plan.seed)
         kinds = self.plan.slice_kinds()
         for _ in range(self.plan.rounds):
             for kind in rng.sample(kinds, len(kinds)):
-                await self._run_pair(kind, cells[kind])
-        return {kind: cells[kind] for kind in kinds}
+                await self._run_pair(kind, measurements[kind])
+        return {kind: measurements[kind] for kind in kinds}
 
-    async def _run_pair(self, kind: SliceKind, cell: Cell) -> None:
+    async def _run_pair(self, kind: SliceKind, measured: SliceMeasurements) -> None:
         direct = await self.setup.client.run(self._direct_addresses, kind.rate, self.plan.seconds)
         proxied = await self.run_proxied(kind.list_size, kind.rate, self.plan.seconds)
-        cell.direct_us.append(direct.latencies_us)
-        cell.proxied_us.append(proxied.result.latencies_us)
-        cell.send_delays_us += direct.send_delays_us + proxied.result.send_delays_us
-        cell.cpu_us.append(proxied.cpu_us)
-        cell.run_queue_us.append(proxied.run_queue_us)
-        cell.opened.append(proxied.opened)
-        cell.succeeded += proxied.result.statuses[HTTPStatus.OK]
-        cell.load_average.append(os.getloadavg()[0])
+        measured.direct_us.append(direct.latencies_us)
+        measured.proxied_us.append(proxied.result.latencies_us)
+        measured.send_delays_us += direct.send_delays_us + proxied.result.send_delays_us
+        measured.cpu_us.append(proxied.cpu_us)
+        measured.run_queue_us.append(proxied.run_queue_us)
+        measured.opened.append(proxied.opened)
+        measured.succeeded += proxied.result.statuses[HTTPStatus.OK]
+        measured.load_average.append(os.getloadavg()[0])
 
     async def find_rate_limit(self, size: int) -> RateLimit:
         """Search the highest rate that the proxy with a list of this size sustains."""
--- a/benchmarks/data_path/records.py
+++ b/benchmarks/data_path/records.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from benchmarks.data_path.measurement import Cell, DataPathBenchmark
+from benchmarks.data_path.measurement import DataPathBenchmark, SliceMeasurements
 from benchmarks.data_path.plan import SliceKind
 from benchmarks.support.open_loop import histogram
 from benchmarks.support.processes import resident_mib
@@ -56,19 +56,19 @@
         return row | {"late_sent_p99_us": self.send_delay_p99_us}
 
 
-def latency_records(cells: Mapping[SliceKind, Cell]) -> list[LatencyRecord]:
+def latency_records(measurements: Mapping[SliceKind, SliceMeasurements]) -> list[LatencyRecord]:
     """Return the latencies of each kind of slice."""
-    return [_latency_record(kind, cell) for kind, cell in cells.items()]
+    return [_latency_record(kind, measured) for kind, measured in measurements.items()]
 
 
-def _latency_record(kind: SliceKind, cell: Cell) -> LatencyRecord:
-    direct = histogram([latency_us for in_round in cell.direct_us for latency_us in in_round])
-    proxied = histogram([latency_us for in_round in cell.proxied_us for latency_us in in_round])
-    direct_rounds = [histogram(in_round) for in_round in cell.direct_us]
-    proxied_rounds = [histogram(in_round) for in_round in cell.proxied_us]
+def _latency_record(kind: SliceKind, measured: SliceMeasurements) -> LatencyRecord:
+    direct = histogram([latency_us for round_us in measured.direct_us for latency_us in round_us])
+    proxied = histogram([latency_us for round_us in measured.proxied_us for latency_us in round_us])
+    direct_rounds = [histogram(round_us) for round_us in measured.direct_us]
+    proxied_rounds = [histogram(round_us) for round_us in measured.proxied_us]
     return LatencyRecord(
         kind=kind,
-        requests=cell.requests,
+        requests=measured.requests,
         direct_us={percent: direct.get_value_at_percentile(percent) for percent in PERCENTILES},
         proxied_us={percent: proxied.get_value_at_percentile(percent) for percent in PERCENTILES},
         round_added_us={
@@ -78,7 +78,7 @@
             )
             for percent in PERCENTILES
         },
-        send_delay_p99_us=histogram(cell.send_delays_us).get_value_at_percentile(99.0),
+        send_delay_p99_us=histogram(measured.send_delays_us).get_value_at_percentile(99.0),
     )
 
 
@@ -98,23 +98,25 @@
     load_average: float = msgspec.field(name="load")
 
 
-def cost_records(cells: Mapping[SliceKind, Cell], benchmark: DataPathBenchmark) -> list[CostRecord]:
+def cost_records(
+    measurements: Mapping[SliceKind, SliceMeasurements], benchmark: DataPathBenchmark
+) -> list[CostRecord]:
     """Return the costs of each kind of slice."""
     return [
         CostRecord(
             list_size=kind.list_size,
             rate=kind.rate,
-            cpu_us=statistics.mean(cell.cpu_us),
-            cpu_error_us=standard_error(cell.cpu_us),
-            run_queue_us=statistics.mean(cell.run_queue_us),
+            cpu_us=statistics.mean(measured.cpu_us),
+            cpu_error_us=standard_error(measured.cpu_us),
+            run_queue_us=statistics.mean(measured.run_queue_us),
             idle_cores=benchmark.idle_cores[kind.list_size],
             idle_mib=benchmark.idle_mib[kind.list_size],
             end_mib=resident_mib(benchmark.setup.proxies[kind.list_size].pid),
-            opened_per_request=sum(cell.opened) / cell.requests,
-            success_fraction=cell.succeeded / cell.requests,
-            load_average=statistics.mean(cell.load_average),
+            opened_per_request=sum(measured.opened) / measured.requests,
+            success_fraction=measured.succeeded / measured.requests,
+            load_average=statistics.mean(measured.load_average),
         )
-        for kind, cell in cells.items()
+        for kind, measured in measurements.items()
     ]
 
 
@@ -127,9 +129,9 @@
     opened: list[int]
 
 
-def rounds_records(cells: Mapping[SliceKind, Cell]) -> list[RoundsRecord]:
+def rounds_records(measurements: Mapping[SliceKind, SliceMeasurements]) -> list[RoundsRecord]:
     """Return the figures of each kind of slice by round."""
     return [
-        RoundsRecord(list_size=kind.list_size, rate=kind.rate, cpu_us=cell.cpu_us, opened=cell.opened)
-        for kind, cell in cells.items()
+        RoundsRecord(list_size=kind.list_size, rate=kind.rate, cpu_us=measured.cpu_us, opened=measured.opened)
+        for kind, measured in measurements.items()
     ]
--- a/benchmarks/data_path/report.py
+++ b/benchmarks/data_path/report.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping, Sequence
 from pathlib import Path
 
-from benchmarks.data_path.measurement import Cell, DataPathBenchmark
+from benchmarks.data_path.measurement import DataPathBenchmark, SliceMeasurements
 from benchmarks.data_path.plan import SliceKind
 from benchmarks.data_path.rate_limit import RateLimit
 from benchmarks.data_path.records import CostRecord, cost_records, latency_records, rounds_records
@@ -13,14 +13,18 @@
 from benchmarks.support.report import format_table, write_results
 
 
-def slopes_over_sizes(cells: Mapping[SliceKind, Cell], benchmark: DataPathBenchmark) -> dict[str, Slope]:
+def slopes_over_sizes(
+    measurements: Mapping[SliceKind, SliceMeasurements], benchmark: DataPathBenchmark
+) -> dict[str, Slope]:
     """Return lines over the list size, if there are enough sizes; each round is a point of its own."""
     compared = {
-        kind.list_size: cell for kind, cell in cells.items() if kind.rate == benchmark.plan.comparison_rate
+        kind.list_size: measured
+        for kind, measured in measurements.items()
+        if kind.rate == benchmark.plan.comparison_rate
     }
     if len(compared) < MIN_SLOPE_SIZES:
         return {}
-    points = [(size, cpu_us) for size, cell in compared.items() for cpu_us in cell.cpu_us]
+    points = [(size, cpu_us) for size, measured in compared.items() for cpu_us in measured.cpu_us]
     sizes = list(benchmark.idle_cores)
     return {
         "cpu_us_per_call": linear_regression([size for size, _ in points], [cpu_us for _, cpu_us in points]),
@@ -39,13 +43,16 @@
 
 
 def report(
-    benchmark: DataPathBenchmark, cells: Mapping[SliceKind, Cell], limits: Sequence[RateLimit], out: Path
+    benchmark: DataPathBenchmark,
+    measurements: Mapping[SliceKind, SliceMeasurements],
+    limits: Sequence[RateLimit],
+    out: Path,
 ) -> None:
     """Print the tables and write the result file."""
-    costs = cost_records(cells, benchmark)
-    latency_rows = [record.row() for record in latency_records(cells)]
+    costs = cost_records(measurements, benchmark)
+    latency_rows = [record.row() for record in latency_records(measurements)]
     cost_rows = [record.row() for record in costs]
-    slopes, ratios = slopes_over_sizes(cells, benchmark), cost_ratios(costs, benchmark)
+    slopes, ratios = slopes_over_sizes(measurements, benchmark), cost_ratios(costs, benchmark)
     write_results(
         out,
         [cost | latency for cost, latency in zip(cost_rows, latency_rows, strict=True)],
@@ -53,7 +60,7 @@
         plan=benchmark.plan,
         limits=[limit.row_with_trials() for limit in limits],
         ratios=ratios,
-        rounds=[record.row() for record in rounds_records(cells)],
+        rounds=[record.row() for record in rounds_records(measurements)],
     )
     print(format_table(latency_rows), format_table(cost_rows), sep="\n\n")
     if limits:
--- a/tests/benchmarks/test_data_path.py
+++ b/tests/benchmarks/test_data_path.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from benchmarks.data_path.measurement import Cell
+from benchmarks.data_path.measurement import SliceMeasurements
 from benchmarks.data_path.plan import Plan, SliceKind
 from benchmarks.data_path.rate_limit import (
     MAX_FAILED_RATES,
@@ -22,12 +22,12 @@
 
 def test_added_latency_is_the_proxied_less_the_direct_one_at_each_percentile():
     stalled = [9000.0] * 100  # in one round of three
-    cell = Cell(
+    measured = SliceMeasurements(
         proxied_us=[[1000.0] * 99 + [9000.0], [1000.0] * 99 + [9000.0], stalled],
         direct_us=[[400.0] * 99 + [500.0]] * 3,
         send_delays_us=[1.0],
     )
-    record: dict[str, Any] = latency_records({SliceKind(13, 170.0): cell})[0].row()
+    record: dict[str, Any] = latency_records({SliceKind(13, 170.0): measured})[0].row()
     assert (record["list"], record["rate_per_s"], record["calls"]) == (13, 170.0, 300)
     assert record["added_p50_us"] == pytest.approx(600, rel=0.002)
     assert record["added_p99_us"] == pytest.approx(8600, rel=0.002)
