--- a/benchmarks/hollow/change_deliveries.py
+++ b/benchmarks/hollow/change_deliveries.py
@@ -49,9 +49,9 @@
         self.expected += expected
         self.delivered += delivered
         self.repeated += sum(part.repeated for part in parts)
-        times_s = [moment - written_at_s for part in parts for moment in part.delivered_at_s]
+        times_s = [at_s - written_at_s for part in parts for at_s in part.delivered_at_s]
         self.times_s += times_s
-        self.read_times_s += [moment - written_at_s for part in parts for moment in part.read_at_s]
+        self.read_times_s += [at_s - written_at_s for part in parts for at_s in part.read_at_s]
         if expected and delivered == expected:
             self.last_times_s.append(max(times_s))
 
--- a/benchmarks/hollow/discovery_server_chain.py
+++ b/benchmarks/hollow/discovery_server_chain.py
@@ -106,11 +106,11 @@
         """See `ServerUnderTest`."""
         return await self._registry.change(changes)
 
-    async def stop_last(self) -> None:
+    async def stop_watched_server(self) -> None:
         """See `ServerUnderTest`."""
         await self.roles.pop(self._server_roles[-1]).kill()
 
-    async def start_last(self, _services: ServiceLists, /) -> float:
+    async def start_watched_server(self, _services: ServiceLists, /) -> float:
         """See `ServerUnderTest`; the server starts from its snapshot, and serves once its last list does."""
         return await self._start_server(self._server_roles[-1], self.ports[-1:])
 
--- a/benchmarks/hollow/node_group.py
+++ b/benchmarks/hollow/node_group.py
@@ -124,9 +124,13 @@
         by comparing complete lists removes the entries as it had them, without the serial number.
         """
         endpoints = endpoint_list.endpoints
-        serials = {int(one.started_ms) - CHANGE_EPOCH_MS for one in endpoints if one.started_ms is not None}
-        present = {one.zone for one in endpoints if one.state is not EndpointState.REMOVED}
-        removed = {one.zone for one in endpoints if one.state is EndpointState.REMOVED}
+        serials = {
+            int(endpoint.started_ms) - CHANGE_EPOCH_MS
+            for endpoint in endpoints
+            if endpoint.started_ms is not None
+        }
+        present = {endpoint.zone for endpoint in endpoints if endpoint.state is not EndpointState.REMOVED}
+        removed = {endpoint.zone for endpoint in endpoints if endpoint.state is EndpointState.REMOVED}
         for serial, change in self._expected.items():
             if change.lost_zone and node.list_number in change.lists:
                 lost = (
--- a/benchmarks/hollow/plain_server.py
+++ b/benchmarks/hollow/plain_server.py
@@ -49,7 +49,7 @@
 
     def watch_response(self, since: int | None) -> bytes:
         """See `Membership.watch_response`; no encoding is reused."""
-        self.forget_encoded_responses()
+        self.discard_encoded_responses()
         return super().watch_response(since)
 
 
--- a/benchmarks/hollow/plain_server_process.py
+++ b/benchmarks/hollow/plain_server_process.py
@@ -29,7 +29,7 @@
     async def start(self, services: ServiceLists) -> None:
         """See `ServerUnderTest`."""
         self.ports = free_ports(len(services.lists))
-        await self.start_last(services)
+        await self.start_watched_server(services)
 
     async def change(self, changes: ListChanges) -> float:
         """See `ServerUnderTest`; while the process is down, the file for its next start holds the change."""
@@ -38,11 +38,11 @@
             return time.monotonic()
         return (await process.request(changes, ChangeWritten)).at_s
 
-    async def stop_last(self) -> None:
+    async def stop_watched_server(self) -> None:
         """See `ServerUnderTest`."""
         await self.roles.pop(PLAIN_ROLE).kill()
 
-    async def start_last(self, services: ServiceLists, /) -> float:
+    async def start_watched_server(self, services: ServiceLists, /) -> float:
         """See `ServerUnderTest`."""
         lists = [
             PlainList(self._revision, list(entries.values()), port)
--- a/benchmarks/hollow/records.py
+++ b/benchmarks/hollow/records.py
@@ -148,16 +148,16 @@
 def _event_traffic(phases: Sequence[Phase], baseline: Phase, baseline_periods: float) -> EventTraffic:
     events = len(phases)
     extra_s = sum(phase.hollow_cpu_s for phase in phases) - baseline.hollow_cpu_s * baseline_periods
-    counters = [counters for phase in phases for counters in phase.counters]
+    counters = [part for phase in phases for part in phase.counters]
     return EventTraffic(
         hollow_cpu_ms=extra_s * MILLISECONDS_PER_S / events,
         seconds=sum(phase.seconds for phase in phases) / events,
-        received_bytes=sum(one.received_bytes for one in counters) / events,
-        changed_response_bytes=sum(one.changed_response_bytes for one in counters) / events,
-        changed_responses=sum(one.changed_responses for one in counters) / events,
-        failed=sum(one.failed for one in counters) / events,
-        complete_lists=sum(one.complete_lists for one in counters) / events,
-        revision_regressions=sum(one.revision_regressions for one in counters) / events,
+        received_bytes=sum(part.received_bytes for part in counters) / events,
+        changed_response_bytes=sum(part.changed_response_bytes for part in counters) / events,
+        changed_responses=sum(part.changed_responses for part in counters) / events,
+        failed=sum(part.failed for part in counters) / events,
+        complete_lists=sum(part.complete_lists for part in counters) / events,
+        revision_regressions=sum(part.revision_regressions for part in counters) / events,
     )
 
 
--- a/benchmarks/hollow/run.py
+++ b/benchmarks/hollow/run.py
@@ -122,12 +122,12 @@
 
         async def restart() -> None:
             nonlocal serving_after_s
-            await self.server.stop_last()
+            await self.server.stop_watched_server()
             await asyncio.sleep(self._timing.downtime_s)
             await self._write(self.services.restart_one_of_each(sorted(set(self.watches))))
             started_at_s = time.monotonic()
             self._changes.count_from(self.services.serial, started_at_s)
-            serving_after_s = await self.server.start_last(self.services) - started_at_s
+            serving_after_s = await self.server.start_watched_server(self.services) - started_at_s
             await self._changes.wait_until_delivered()
 
         phase = await self._measure_phase(restart)
--- a/benchmarks/hollow/server_under_test.py
+++ b/benchmarks/hollow/server_under_test.py
@@ -36,11 +36,11 @@
         """Write a change at the source; return the time of the write, in seconds of the monotonic clock."""
         ...
 
-    async def stop_last(self) -> None:
+    async def stop_watched_server(self) -> None:
         """End the process that the nodes watch, without a shutdown."""
         ...
 
-    async def start_last(self, services: ServiceLists, /) -> float:
+    async def start_watched_server(self, services: ServiceLists, /) -> float:
         """Start that process again at the same addresses; return the time from which it serves."""
         ...
 
--- a/benchmarks/support/membership.py
+++ b/benchmarks/support/membership.py
@@ -121,7 +121,7 @@
         """Return the current list."""
         return EndpointListMessage(rev=self.revision, all=True, targets=list(self.entries.values()))
 
-    def forget_encoded_responses(self) -> None:
+    def discard_encoded_responses(self) -> None:
         """Discard the cached encodings, so that the next watch response is encoded again."""
         self._encoded_responses.clear()
 
