--- a/benchmarks/support/__init__.py
+++ b/benchmarks/support/__init__.py
@@ -1,1 +1,1 @@
-"""Shared parts of the benchmarks: child processes, stand-in servers, load, options and reports."""
+"""Shared parts of the benchmarks: child processes, test servers, load generation, options and reports."""
--- a/benchmarks/support/backends.py
+++ b/benchmarks/support/backends.py
@@ -1,6 +1,6 @@
-"""Stand-in backends: one process that responds at many endpoints, and serves lists of the first N of them.
+"""Test backends: one process that serves HTTP at many endpoints, and endpoint lists of the first N of them.
 
-Standard input takes `StartBackends` first, then any number of `CountersRequest`.
+Standard input takes one `StartBackends` message, then any number of `CountersRequest` messages.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 
 RESPONSE_BODY = b"x" * 128
 RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(RESPONSE_BODY), RESPONSE_BODY)
-ADDRESSES_PER_SUBNET = 250  # used of each 127.1.x.0/24
-MESSAGE_TIMEOUT_S = 30.0  # within which the process replies to a message, on a busy machine
+ADDRESSES_PER_SUBNET = 250  # addresses used in each 127.1.x.0/24
+MESSAGE_TIMEOUT_S = 30.0  # for the reply to a message; long enough for a busy machine
 
 
 class StartBackends(msgspec.Struct):
-    """The first message: the endpoints and lists to serve. Its reply is `BackendsStarted`."""
+    """The first message: the endpoints and lists to serve. The reply is `BackendsStarted`."""
 
     endpoints: int
     list_sizes: list[int]  # each list has its own list server
-    service_ms: float  # from a request's last byte to its response
+    service_ms: float  # delay from a request's last byte to its response
     seed: int
 
 
@@ -40,19 +40,19 @@
 
 
 class CountersRequest(msgspec.Struct):
-    """Requests the counters. Its reply is `BackendCounters`."""
+    """Requests the counters. The reply is `BackendCounters`."""
 
 
 class BackendCounters(msgspec.Struct):
-    """Counters of all backends together, since the start."""
+    """Totals over all backends since the process started."""
 
-    accepted: int = 0  # connections
-    closed: int = 0  # connections
+    accepted: int = 0  # accepted connections
+    closed: int = 0  # closed connections
     responses: int = 0
 
 
 class BackendsProcess:
-    """The parent's side of a process of backends."""
+    """The parent process's handle on a process of backends."""
 
     def __init__(self, process: ChildProcess, started: BackendsStarted) -> None:
         self._process = process
@@ -64,7 +64,7 @@
         """Start the process and its backends.
 
         Raises:
-            TimeoutError: It does not serve after `MESSAGE_TIMEOUT_S`; it is ended.
+            TimeoutError: It does not serve within `MESSAGE_TIMEOUT_S`; it is terminated.
         """
         process = await ChildProcess.start("benchmarks.support.backends")
         try:
@@ -75,18 +75,18 @@
             raise
 
     async def accepted_connections(self) -> int:
-        """Return how many connections the backends have accepted since the start."""
+        """Return the number of connections that the backends have accepted since the start."""
         async with asyncio.timeout(MESSAGE_TIMEOUT_S):
             counters = await self._process.request(CountersRequest(), BackendCounters)
         return counters.accepted
 
     async def stop(self) -> None:
-        """End the process."""
+        """Terminate the process."""
         await self._process.terminate()
 
 
 class _BackendConnection(asyncio.Protocol):
-    """Responds 200 to every request."""
+    """One client connection: responds 200 to every request."""
 
     def __init__(self, counters: BackendCounters, service_s: float) -> None:
         self._counters = counters
@@ -103,10 +103,10 @@
         """Count the end of the connection."""
         self._transport = None
         self._counters.closed += 1
-        del self._parser  # it refers to this object
+        del self._parser  # breaks the reference cycle with this object
 
     def data_received(self, data: bytes) -> None:
-        """Parse the data; anything but HTTP ends the connection."""
+        """Parse the data; data that is not HTTP closes the connection."""
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
@@ -114,7 +114,7 @@
                 self._transport.abort()
 
     def on_message_complete(self) -> None:
-        """Parser callback: respond once the service time is over."""
+        """Parser callback: respond after the service time."""
         if self._service_s > 0.0:
             asyncio.get_running_loop().call_later(self._service_s, self._respond)
         else:
@@ -127,7 +127,7 @@
 
 
 async def open_endpoints(count: int, service_ms: float, counters: BackendCounters) -> list[str]:
-    """Listen on `count` loopback addresses; return host and port of each."""
+    """Listen on `count` loopback addresses; return the host and port of each."""
     loop = asyncio.get_running_loop()
     endpoints = []
     for index in range(count):
--- a/benchmarks/support/child_streams.py
+++ b/benchmarks/support/child_streams.py
@@ -1,4 +1,4 @@
-"""The child's side of the pipes between a benchmark and its child processes: one JSON message a line."""
+"""Messages that a child process exchanges with its benchmark over pipes: one line of JSON each."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 import msgspec
 
-MAX_LINE_BYTES = 1 << 28
+MAX_LINE_BYTES = 1 << 28  # of a message
 
 Message = TypeVar("Message")
 
 
 async def open_standard_input() -> asyncio.StreamReader:
-    """Return this process's standard input as a stream that can be read while other tasks run."""
+    """Return this process's standard input as an asynchronous stream."""
     reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     await asyncio.get_running_loop().connect_read_pipe(
         lambda: asyncio.StreamReaderProtocol(reader), sys.stdin.buffer
@@ -28,7 +28,7 @@
     """Return the next line as a message, or None once the input has ended.
 
     Raises:
-        msgspec.DecodeError: The line is no JSON, or a message of another type.
+        msgspec.DecodeError: The line is not JSON, or is a message of another type.
     """
     line = await reader.readline()
     return decoder.decode(line) if line else None
--- a/benchmarks/support/free_ports.py
+++ b/benchmarks/support/free_ports.py
@@ -1,4 +1,4 @@
-"""Loopback ports at which a process can listen, and listen again after a restart."""
+"""Free loopback ports that a server can bind again after a restart."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class InsufficientPortsError(OSError):
-    """Fewer ports are free than requested."""
+    """Fewer loopback ports are free than were requested."""
 
     def __init__(self, requested: int, free: int) -> None:
-        super().__init__(f"{requested} ports are requested and {free} are free")
+        super().__init__(f"requested {requested} loopback ports below the outgoing range, found {free} free")
         self.requested = requested
         self.free = free
 
@@ -27,13 +27,14 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Return different free loopback ports outside the range of outgoing connections.
+    """Return distinct free loopback ports below the range of outgoing connections.
 
-    Guard: while a server is down, a node that tries to reach it could get the server's port as its own
-    outgoing port, and block the restart. Ports below the range of outgoing connections prevent this.
+    While a server is down, a node that reconnects to it can get the server's own port as its outgoing port;
+    the server then cannot bind the port and its restart fails. The kernel takes no outgoing port below the
+    range, so ports from there stay available.
 
     Raises:
-        InsufficientPortsError: Fewer ports are free.
+        InsufficientPortsError: Fewer than `count` ports are free.
     """
     candidates = list(range(LOWEST_PORT, first_outgoing_port()))
     Random(time.monotonic_ns()).shuffle(candidates)
--- a/benchmarks/support/health_check.py
+++ b/benchmarks/support/health_check.py
@@ -1,4 +1,4 @@
-"""Health checks over HTTP: whether a server responds 200 at a path."""
+"""HTTP health checks of servers under test."""
 
 from __future__ import annotations
 
--- a/benchmarks/support/list_server.py
+++ b/benchmarks/support/list_server.py
@@ -1,4 +1,4 @@
-"""A stand-in for the discovery server: one endpoint list, served to watches over the discovery protocol."""
+"""A minimal discovery server for tests: serves one endpoint list to watches over the discovery protocol."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from benchmarks.support.membership import EndpointEntry, Membership
 from benchmarks.support.transports import require_stream_transport
 
-MAX_WAIT_MS = 60_000  # of a watch without a change
+MAX_WAIT_MS = 60_000  # longest delay of the response to a watch while the list does not change
 LISTEN_BACKLOG = 4096
 LIST_PATH = "/discovery/hosts"
 RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n"
 NOT_FOUND_RESPONSE = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
-UNUSED_ADDRESS = "127.0.0.1:9"  # of endpoints that get no requests
+UNUSED_ADDRESS = "127.0.0.1:9"  # for endpoints that receive no requests
 
 
 class ListServerStatistics(msgspec.Struct):
@@ -27,17 +27,17 @@
     revision: int
     entries: int
     connections: int
-    waiting: int  # watches
-    accepted: int  # connections since the start
+    waiting: int  # watches that wait for a change
+    accepted: int  # accepted connections
     responses: int = msgspec.field(name="answers")
     bytes_in: int
     bytes_out: int
-    cpu_s: float  # processor time
+    cpu_s: float  # processor time of the server's process
     at_s: float  # Unix time
 
 
 class _WatchConnection(asyncio.Protocol):
-    """One watch: a request at a time, its response delayed until there is a change or its wait is over."""
+    """One watch: a request at a time, with a response when the list changes or the requested wait ends."""
 
     def __init__(self, server: ListServer) -> None:
         self._server = server
@@ -58,10 +58,10 @@
         self._stop_waiting()
         self._server.connections.discard(self)
         self._transport = None
-        del self._parser  # it refers to this object
+        del self._parser  # breaks the reference cycle with this object
 
     def data_received(self, data: bytes) -> None:
-        """Parse the data; bytes that are not HTTP, or an invalid number in the query, end the connection."""
+        """Parse the data; data that is not HTTP or an invalid number in the query closes the connection."""
         self._server.bytes_in += len(data)
         try:
             self._parser.feed_data(data)
@@ -77,7 +77,7 @@
         self._target += url
 
     def on_message_complete(self) -> None:
-        """Parser callback: respond at once, or when the list changes."""
+        """Parser callback: respond at once if the list has changed, else when it changes or the wait ends."""
         target = urlsplit(self._target.decode("ascii"))
         query = parse_qs(target.query)
         if target.path != LIST_PATH:
@@ -94,14 +94,14 @@
         self._wait_timer = asyncio.get_running_loop().call_later(wait_ms / 1000.0, self.respond)
 
     def respond(self) -> None:
-        """Send the changes since the watch's revision."""
+        """Send the changes since the watch's revision, or the complete list."""
         self._stop_waiting()
         body = self._server.membership.watch_response(self._since)
         self._write(RESPONSE_HEAD % len(body) + body)
         self._server.responses += 1
 
     def close(self) -> None:
-        """End the connection at once."""
+        """Abort the connection."""
         self._stop_waiting()
         if self._transport is not None:
             self._transport.abort()
@@ -121,9 +121,9 @@
 class ListServer:
     """Serves a membership to watches.
 
-    A watch polls with a revision once the revision is in force at its node, so `on_poll`, which gets the
-    revision of each poll, also shows when a change is in force. `bytes_in` and `bytes_out` count the bytes of
-    HTTP, without the headers of TCP and IP.
+    A watch polls with a revision only after its node has applied that revision, so `on_poll`, which is called
+    with the revision of each poll, also reports when a change is in force. `bytes_in` and `bytes_out` count
+    HTTP bytes, without TCP and IP headers.
     """
 
     def __init__(self, membership: Membership) -> None:
@@ -138,7 +138,7 @@
         self._listener: asyncio.Server | None = None
 
     async def listen(self, host: str = "127.0.0.1", port: int = 0) -> str:
-        """Begin to serve; return host and port."""
+        """Start to listen; return the host and port."""
         loop = asyncio.get_running_loop()
         self._listener = await loop.create_server(
             lambda: _WatchConnection(self), host, port, backlog=LISTEN_BACKLOG
@@ -151,7 +151,7 @@
 
         Args:
             changed: The entries.
-            compact: Drop the change log, so that each watch gets the complete list.
+            compact: Discard the change log, so that each watch receives the complete list.
 
         Returns:
             The new revision.
@@ -164,12 +164,12 @@
         return revision
 
     def drop_connections(self) -> None:
-        """End every connection at once, as a restart of the server does."""
+        """Abort all connections, as a restart of the server does."""
         for connection in list(self.connections):
             connection.close()
 
     def statistics(self) -> ListServerStatistics:
-        """Return the counters as they are now."""
+        """Return the current counters."""
         return ListServerStatistics(
             revision=self.membership.revision,
             entries=len(self.membership.entries),
@@ -184,7 +184,7 @@
         )
 
     def close(self) -> None:
-        """Stop listening and end every connection."""
+        """Stop listening and abort all connections."""
         if self._listener is not None:
             self._listener.close()
         self.drop_connections()
--- a/benchmarks/support/membership.py
+++ b/benchmarks/support/membership.py
@@ -1,6 +1,6 @@
-"""An endpoint list by revision with a bounded change log, and seeded changes to it; no I/O and no clock.
+"""A versioned endpoint list with a bounded change log, and a generator of random changes to it.
 
-Entries have the keys of the discovery protocol.
+The module does no I/O and reads no clock. Entries have the keys of the discovery protocol.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 import msgspec
 
 ZONES = ("a", "b", "c")
-MODELS = 3  # kinds of servers
+MODELS = 3  # number of server models
 POD_GROUPS = 8
-MAX_LOGGED_CHANGES = 10_000  # changed entries, for watches that lag behind
+MAX_LOGGED_CHANGES = 10_000  # changed entries; a watch that is further behind receives the complete list
 READY = "Ready"
 TERMINATING = "Terminating"
 REMOVED = "Gone"  # the state that removes an entry from the list
@@ -31,19 +31,19 @@
     pod_group: int
     state: str
     capacity_hint: float
-    boot_ms: int  # Unix time of its start; 0: unknown
+    boot_ms: int  # Unix time of the endpoint's start; 0: unknown
 
 
 class EndpointListMessage(msgspec.Struct):
     """An endpoint list, or a delta of one, with the keys of the discovery protocol."""
 
     rev: int
-    all: bool  # whether the list is complete; else it is a delta
+    all: bool  # True: a complete list; False: a delta
     targets: list[EndpointEntry]
 
 
 def make_entries(addresses: Iterable[str], seed: int = 7) -> list[EndpointEntry]:
-    """Return ready endpoints at these addresses, with zones and models drawn from the seed."""
+    """Return ready endpoints at these addresses, with seeded random zones, models and pod groups."""
     rng = Random(seed)
     return [
         {
@@ -61,9 +61,9 @@
 
 
 class Membership:
-    """An endpoint list, its revision and a bounded log of its changes.
+    """An endpoint list, its revision and a bounded change log.
 
-    Each watch response is encoded once for all watches with the same revision.
+    A watch response is encoded once and shared by all watches with the same revision.
     """
 
     def __init__(
@@ -74,14 +74,14 @@
     ) -> None:
         self.revision = revision
         self.entries = {entry["uid"]: entry for entry in entries}
-        self._change_log: deque[tuple[int, EndpointEntry]] = deque()  # revision and entry, oldest first
+        self._change_log: deque[tuple[int, EndpointEntry]] = deque()  # (revision, entry), oldest first
         self._max_logged_changes = max_logged_changes
-        self._oldest_known_revision = revision  # the log holds all changes since this one
-        # At the current revision: by the watch's revision, None for a complete list.
+        self._oldest_known_revision = revision  # the log has all changes after this one
+        # Responses at the current revision, by the watch's revision; None: the complete list.
         self._encoded_responses: dict[int | None, bytes] = {}
 
     def apply(self, changed: Sequence[EndpointEntry]) -> int:
-        """Apply changed entries in one revision; entries in state `REMOVED` leave the list.
+        """Apply changed entries as one revision; entries in state `REMOVED` are removed from the list.
 
         Returns:
             The new revision.
@@ -99,16 +99,16 @@
         return self.revision
 
     def compact(self) -> None:
-        """Drop the change log: a watch since an earlier revision gets the complete list."""
+        """Discard the change log: watches at an earlier revision receive the complete list."""
         self._change_log.clear()
         self._encoded_responses.clear()
         self._oldest_known_revision = self.revision
 
     def watch_response(self, since: int | None) -> bytes:
-        """Return the body of the response to a watch: the changes, or else the complete list.
+        """Return the body of the response to a watch: a delta, or the complete list if the log is too short.
 
         Args:
-            since: The watch's revision; None: the watch needs the complete list.
+            since: The watch's revision; None: the watch requests the complete list.
         """
         if since is not None and not self._oldest_known_revision <= since <= self.revision:
             since = None
@@ -122,7 +122,7 @@
         return EndpointListMessage(rev=self.revision, all=True, targets=list(self.entries.values()))
 
     def discard_encoded_responses(self) -> None:
-        """Discard the cached encodings, so that the next watch response is encoded again."""
+        """Discard the cached responses, so that the next one is encoded again."""
         self._encoded_responses.clear()
 
     def _changes_since(self, since: int) -> EndpointListMessage:
@@ -135,7 +135,7 @@
 
 
 class Churn:
-    """Draws changes of a membership from a seed: endpoints that drain and restart, and losses."""
+    """Generates seeded random changes to a membership: endpoints that drain and restart, and losses."""
 
     def __init__(self, membership: Membership, seed: int = 7) -> None:
         self._membership = membership
@@ -145,8 +145,8 @@
         """Return changed entries: a ready endpoint drains, a draining one is ready again.
 
         Args:
-            count: Entries; at most all of the list.
-            now_ms: Unix time: the start time of an endpoint that is ready again.
+            count: Number of entries; limited to the length of the list.
+            now_ms: Unix time, which becomes the start time of an endpoint that is ready again.
         """
         return [
             entry | {"state": TERMINATING}
@@ -156,7 +156,7 @@
         ]
 
     def next_losses(self, count: int) -> list[EndpointEntry]:
-        """Return `count` entries that are removed at once."""
+        """Return `count` random entries in state `REMOVED`, for removal in one change."""
         return [entry | {"state": REMOVED} for entry in self._sample(count)]
 
     def _sample(self, count: int) -> list[EndpointEntry]:
--- a/benchmarks/support/node_setup.py
+++ b/benchmarks/support/node_setup.py
@@ -1,4 +1,4 @@
-"""The environment of benchmarks of complete nodes: backends, a proxy for each list size, and a client."""
+"""The test environment for benchmarks of real proxies: backends, a proxy for each list size, and a client."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from loadbalancer.http.addresses import Address, parse_address
 
 DEFAULT_LIST_SIZES = (13, 100, 400, 1000)
-ORDINARY_RATE = 170.0  # requests a second: a node's ordinary load, at which list sizes are compared
-WARM_UP_S = 1.0  # of uncounted requests to each node and backend
+ORDINARY_RATE = 170.0  # requests a second: a node's typical load, at which list sizes are compared
+WARM_UP_S = 1.0  # duration of the uncounted requests to each node and to the backends
 
 
 class NodeSetup:
-    """Running backends, the proxies started so far by the size of their list, and a client."""
+    """Running backends, the started proxies by the size of their list, and a client."""
 
     def __init__(self, folder: Path, backends: BackendsProcess, seed: int) -> None:
         self.folder = folder
@@ -43,9 +43,9 @@
         Args:
             size: Endpoints in the list.
             list_server: Host and port of the server of that list.
-            sockets: File descriptors that the proxy may hold.
+            sockets: The proxy's limit on open file descriptors.
             module: The module that runs as the proxy.
-            environment: Variables added to this process's own.
+            environment: Variables added to this process's environment.
         """
         name = f"n{size}"
         cached_list = Membership(make_entries(self.backends.endpoints[:size], self._seed)).complete_list()
@@ -57,11 +57,11 @@
         return proxy
 
     def backend_addresses(self, count: int) -> list[Address]:
-        """Return the addresses of the first backends."""
+        """Return the addresses of the first `count` backends."""
         return [parse_address(endpoint) for endpoint in self.backends.endpoints[:count]]
 
     async def close(self) -> None:
-        """End the client's connections, the proxies and the backends."""
+        """Close the client's connections and stop the proxies and the backends."""
         self.client.close()
         for proxy in self.proxies.values():
             await proxy.stop()
@@ -72,13 +72,13 @@
 async def node_setup(
     list_sizes: Sequence[int], *, min_endpoints: int = 0, service_ms: float, seed: int
 ) -> AsyncIterator[NodeSetup]:
-    """Start backends with a list server for each size; end all processes on exit.
+    """Start backends with a list server for each size; stop all processes on exit.
 
     Args:
         list_sizes: The sizes of the lists.
-        min_endpoints: The minimum number of backends, whatever the lists need.
+        min_endpoints: The minimum number of backends, even if all lists are shorter.
         service_ms: A backend's service time of a request.
-        seed: Of the lists' entries and the client's requests.
+        seed: Seed of the lists' entries and the client's requests.
     """
     endpoints = max(*list_sizes, min_endpoints)
     with tempfile.TemporaryDirectory() as folder:
@@ -91,7 +91,7 @@
 
 
 def stop_garbage_collection() -> None:
-    """Disable garbage collection in this process, so that its pauses don't appear in the node's latencies."""
+    """Disable garbage collection in this process: its pauses would count as latency of the tested node."""
     gc.collect()
     gc.freeze()
     gc.disable()
--- a/benchmarks/support/open_loop.py
+++ b/benchmarks/support/open_loop.py
@@ -1,8 +1,8 @@
-"""An open-loop client: requests at a constant rate, each latency counted from the request's due time.
+"""An open-loop client: sends requests at a constant rate and measures latency from the scheduled send time.
 
-A stall of the server shows in the latencies of all requests that are due meanwhile (no coordinated omission).
-A request that finds no connection waits with its clock running, and a request without a response counts with
-all the time it had.
+A stall of the server therefore appears in the latencies of all requests scheduled during it (no coordinated
+omission). The time that a request waits for a connection is included, and a request without a response counts
+with the time from its scheduled send time to the end of the run.
 """
 
 from __future__ import annotations
@@ -21,33 +21,33 @@
 from benchmarks.support.transports import require_stream_transport
 from loadbalancer.http.addresses import Address
 
-MAX_CONNECTIONS = 256  # open at once; further requests wait for one
-DRAIN_TIMEOUT_S = 4.5  # from the last request's due time, for which the client waits for responses
-FIRST_REQUEST_DELAY_S = 0.01  # from the encoding of the requests to the first one's due time
+MAX_CONNECTIONS = 256  # open at the same time; further requests wait for a free one
+DRAIN_TIMEOUT_S = 4.5  # wait for responses after the last request is scheduled
+FIRST_REQUEST_DELAY_S = 0.01  # from the encoding of all requests to the first scheduled send time
 MICROSECONDS_PER_S = 1e6
 MAX_RECORDED_US = 60_000_000
 SIGNIFICANT_DIGITS = 3  # of the histograms
-NO_RESPONSE = 0  # the status of a request without a response
+NO_RESPONSE = 0  # status recorded for a request without a response
 
 REQUEST_MIX = {"read": 0.7, "post": 0.2, "move": 0.1}  # fraction of requests by service class
 REQUEST_BODY = b"y" * 212
 
 
 class MicrosecondEventLoop(asyncio.SelectorEventLoop):
-    """An event loop with timers exact to the microsecond: the timeouts of epoll are whole milliseconds."""
+    """An event loop with microsecond timers; it uses select, since epoll rounds timeouts to milliseconds."""
 
     def __init__(self) -> None:
         super().__init__(selectors.SelectSelector())
 
 
 def run_with_exact_timers(benchmark: Coroutine[Any, Any, None]) -> None:
-    """Run a benchmark to its end in a `MicrosecondEventLoop`."""
+    """Run a benchmark to completion in a `MicrosecondEventLoop`."""
     with asyncio.Runner(loop_factory=MicrosecondEventLoop) as runner:
         runner.run(benchmark)
 
 
 def encode_request(rng: Random) -> bytes:
-    """Return one request of the mix; its class, id and idempotency key are drawn."""
+    """Return a random request of `REQUEST_MIX`, with random class, id and idempotency key."""
     service_class = rng.choices(list(REQUEST_MIX), list(REQUEST_MIX.values()))[0]
     lines = [
         f"{'GET' if service_class == 'read' else 'POST'} /{service_class}/{rng.getrandbits(32):08x} HTTP/1.1",
@@ -66,7 +66,7 @@
 
 @dataclass(slots=True, eq=False)
 class _Request:
-    scheduled_at: float  # when it is to be sent, by the loop's clock
+    scheduled_at: float  # scheduled send time, by the loop's clock
     address: Address
     data: bytes
     repeats: int = 0
@@ -74,17 +74,17 @@
 
 @dataclass(slots=True)
 class LoadResult:
-    """The outcome of one run of requests; latencies are in microseconds from each request's due time."""
+    """The outcome of one run of requests; latencies are in microseconds from the scheduled send time."""
 
     latencies_us: list[float] = field(default_factory=list)  # in the order of the responses
-    send_delays_us: list[float] = field(default_factory=list)  # from each request's due time to its sending
+    send_delays_us: list[float] = field(default_factory=list)  # from scheduled to actual send time
     statuses: Counter[int] = field(default_factory=Counter)
-    opened: int = 0  # connections
-    seconds: float = 0.0  # from the first request's due time to the last response
+    opened: int = 0  # opened connections
+    seconds: float = 0.0  # from the first scheduled send time to the last response
 
 
 def histogram(latencies_us: Sequence[float]) -> HdrHistogram:
-    """Return an HDR histogram of microseconds, limited to 1 to `MAX_RECORDED_US`."""
+    """Return an HDR histogram of microseconds; values are clamped to the range 1 to `MAX_RECORDED_US`."""
     recorded = HdrHistogram(1, MAX_RECORDED_US, SIGNIFICANT_DIGITS)
     for latency_us in latencies_us:
         recorded.record_value(min(MAX_RECORDED_US, max(1, round(latency_us))))
@@ -97,13 +97,13 @@
     def __init__(self, client: OpenLoopClient, address: Address, request: _Request) -> None:
         self.address = address
         self.request: _Request | None = request
-        self.reused = False  # whether it has carried a response before
+        self.reused = False  # whether it has already delivered a response
         self._client = client
         self._parser = httptools.HttpResponseParser(self)
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send the request that the connection was opened for, unless it has been given up."""
+        """Send the request that the connection is opened for, unless the run has ended without it."""
         self._transport = require_stream_transport(transport)
         if self.request is None:
             self._transport.abort()
@@ -111,9 +111,9 @@
             self._transport.write(self.request.data)
 
     def send(self, request: _Request) -> None:
-        """Send a request; the connection is open and idle."""
+        """Send a request on this connection, which must be open and idle."""
         if self._transport is None:
-            raise ConnectionError("a request was given to a connection that is not open")
+            raise ConnectionError(f"cannot send a request: the connection to {self.address} is not open")
         self.request = request
         self._transport.write(request.data)
 
@@ -133,19 +133,19 @@
             self.abort()
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Hand the request that is in flight back to the client."""
+        """Return the request in flight to the client."""
         request, self.request = self.request, None
         self._client.on_connection_lost(self, request)
-        del self._parser  # it refers to this object
+        del self._parser  # breaks the reference cycle with this object
 
     def abort(self) -> None:
-        """End the connection at once."""
+        """Abort the connection."""
         if self._transport is not None:
             self._transport.abort()
 
 
 class OpenLoopClient:
-    """Keeps connections alive to the addresses of its requests, and opens one more where all are busy."""
+    """Sends requests on keep-alive connections; opens another connection if all to an address are busy."""
 
     def __init__(
         self,
@@ -157,9 +157,9 @@
         """Create a client without connections.
 
         Args:
-            seed: Of the requests' random draws.
-            max_connections: Connections open at once; further requests wait for one.
-            drain_timeout_s: For how long a run waits for responses after its last request is due.
+            seed: Seed of the random requests.
+            max_connections: Limit on open connections; further requests wait for a free one.
+            drain_timeout_s: How long a run waits for responses after its last request is scheduled.
         """
         self._max_connections = max_connections
         self._drain_timeout_s = drain_timeout_s
@@ -175,16 +175,16 @@
 
     @property
     def outstanding(self) -> int:
-        """Requests that are past their due time and have no response yet."""
+        """Requests past their scheduled send time that have no response yet."""
         return len(self._outstanding)
 
     async def run(self, addresses: Sequence[Address], rate: float, seconds: float) -> LoadResult:
-        """Send requests at a constant rate, to the addresses in turn, and wait for their responses.
+        """Send requests at a constant rate, round-robin over the addresses, and wait for the responses.
 
         Args:
-            addresses: Where the requests go.
+            addresses: The destinations of the requests.
             rate: Requests a second.
-            seconds: For how long; the run ends the drain time-out later at the latest.
+            seconds: How long to send requests; the run ends at most the drain timeout later.
         """
         self._result = result = LoadResult()
         count = max(1, round(rate * seconds))
@@ -192,7 +192,7 @@
         started = self._loop.time() + FIRST_REQUEST_DELAY_S
         for index, data in enumerate(requests):
             scheduled_at = started + index / rate
-            # A late request is sent at once, but the loop has to read responses in between.
+            # A late request is sent at once; the sleep of 0 s still lets the loop read responses in between.
             await asyncio.sleep(max(0.0, scheduled_at - self._loop.time()))
             result.send_delays_us.append((self._loop.time() - scheduled_at) * MICROSECONDS_PER_S)
             request = _Request(scheduled_at, addresses[index % len(addresses)], data)
@@ -219,7 +219,7 @@
                 connection.abort()
 
     def close(self) -> None:
-        """End every connection at once."""
+        """Abort all connections."""
         for connection in list(self._connections):
             connection.abort()
 
@@ -234,7 +234,7 @@
             self._close_one_idle()
 
     def _close_one_idle(self) -> None:
-        """End an idle connection to another address; the request in the queue takes its place."""
+        """Abort an idle connection to another address, so that a queued request can open its own."""
         connection = next((idle[0] for idle in self._idle.values() if idle), None)
         if connection is not None:
             self._idle[connection.address].remove(connection)
@@ -257,12 +257,12 @@
             self.on_connection_lost(connection, request)
 
     def on_response(self, request: _Request, status: int, connection: _Connection | None) -> None:
-        """Record a response; called by connections.
+        """Record a response. Called by connections.
 
         Args:
-            request: The request that the response ends.
+            request: The request that the response belongs to.
             status: The response's status code.
-            connection: The connection, if it can be reused.
+            connection: The connection if it can be reused, else None.
         """
         self._finish(request, status)
         if connection is not None:
@@ -271,13 +271,13 @@
                 self._dispatch(self._queue.popleft())
 
     def on_connection_lost(self, connection: _Connection, request: _Request | None) -> None:
-        """Remove a connection; send its request in flight again or end it. Called by connections."""
+        """Remove a connection; resend its request in flight or record it as failed. Called by connections."""
         self._connections.discard(connection)
         idle = self._idle.get(connection.address, [])
         if connection in idle:
             idle.remove(connection)
         if request is not None and request in self._outstanding:
-            # The server's close and the request on a reused connection may cross: the request is repeated.
+            # The server may close a reused connection while the request is on its way: resend it once.
             if connection.reused and not request.repeats:
                 request.repeats += 1
                 self._open(request)
--- a/benchmarks/support/options.py
+++ b/benchmarks/support/options.py
@@ -1,4 +1,4 @@
-"""Command-line options that the benchmarks share, and the plans created from them."""
+"""Command-line options shared by the benchmarks, and the plans created from them."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 def parse_numbers(text: str) -> tuple[float, ...]:
-    """Return the numbers of a comma-separated text; click reports a ValueError as a usage error."""
+    """Parse comma-separated numbers; click reports a ValueError as a usage error."""
     return tuple(float(word) for word in text.split(","))
 
 
 def parse_integers(text: str) -> tuple[int, ...]:
-    """Return the integers of a comma-separated text; click reports a ValueError as a usage error."""
+    """Parse comma-separated integers; click reports a ValueError as a usage error."""
     return tuple(int(word) for word in text.split(","))
 
 
@@ -29,18 +29,18 @@
 quick_option = click.option(
     "--quick",
     is_flag=True,
-    help="A run of seconds, to see that the command works; its figures mean little.",
+    help="A run of a few seconds that checks that the command works; its figures are not meaningful.",
 )
 service_ms_option = click.option(
-    "--service-ms", default=0.0, show_default=True, help="A backend's service time of a request."
+    "--service-ms", default=0.0, show_default=True, help="A backend's service time for a request."
 )
 sockets_option = click.option(
-    "--sockets", default=DEPLOYED_SOCKETS, show_default=True, help="File descriptors of a node."
+    "--sockets", default=DEPLOYED_SOCKETS, show_default=True, help="A node's limit on open file descriptors."
 )
 
 
 def sizes_option(default: str) -> Callable[[Command], Command]:
-    """Return the option `--servers`: the plan's list sizes."""
+    """Return the option `--servers`, which sets the plan's list sizes."""
     return click.option(
         "--servers",
         "sizes",
@@ -48,12 +48,12 @@
         default=default,
         metavar="N,...",
         show_default=True,
-        help="Sizes of the list.",
+        help="Endpoints in the list, for each list size.",
     )
 
 
 def out_option(file_name: str) -> Callable[[Command], Command]:
-    """Return the option `--out`, with a default file in the build folder."""
+    """Return the option `--out`; the default file is in the build folder."""
     return click.option(
         "--out",
         default=f"build/benchmarks/{file_name}",
@@ -63,7 +63,7 @@
 
 
 def make_plan(plan_type: type[Plan], options: dict[str, object]) -> Plan:
-    """Return a plan with these options as its fields; fields without an option keep their defaults.
+    """Create a plan from these options; fields without an option have their default values.
 
     Raises:
         msgspec.ValidationError: An option has the wrong type for its field.
--- a/benchmarks/support/processes.py
+++ b/benchmarks/support/processes.py
@@ -1,7 +1,7 @@
-"""Child processes of a benchmark: their start and end, messages to and from them, and their resource usage.
+"""Child processes of a benchmark: start, termination, messages over pipes, and resource usage.
 
-A message is a line of JSON; `benchmarks.support.child_streams` is the child's side of the exchange. Resource
-usage is read from /proc.
+A message is a line of JSON; `benchmarks.support.child_streams` implements the child's side. Resource usage is
+read from /proc.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 
 PROC = Path("/proc")
 ROOT = Path(__file__).resolve().parents[2]
-TERMINATION_TIMEOUT_S = 5.0  # from SIGTERM to SIGKILL
+TERMINATION_TIMEOUT_S = 5.0  # between SIGTERM and SIGKILL
 KIB_PER_MIB = 1024.0
 NANOSECONDS_PER_S = 1e9
-STAT_USER_TIME_FIELD = 11  # in /proc/PID/stat, counted from the field after the command's name
+STAT_USER_TIME_FIELD = 11  # index in /proc/PID/stat, counted from the field after the command's name
 STAT_SYSTEM_TIME_FIELD = 12
 
 Reply = TypeVar("Reply")
@@ -40,10 +40,10 @@
 
 
 class ProcessUsageError(LookupError):
-    """The kernel states no usage of a process, because the process has ended."""
+    """The kernel reports no memory usage for a process, because the process has ended."""
 
     def __init__(self, pid: int) -> None:
-        super().__init__(f"process {pid} has no resident memory")
+        super().__init__(f"no VmRSS line in {PROC}/{pid}/status: process {pid} has ended")
         self.pid = pid
 
 
@@ -71,7 +71,7 @@
 def cpu_seconds(pid: int) -> float:
     """Return the processor time that a process has used, in seconds.
 
-    Exact to the nanosecond where the kernel keeps scheduler statistics, else to a clock tick.
+    The resolution is a nanosecond if the kernel has scheduler statistics, else a clock tick.
     """
     try:
         return _schedstat_seconds(pid, _SchedstatField.RUNNING)
@@ -82,9 +82,9 @@
 
 
 def run_queue_seconds(pid: int) -> float:
-    """Return the time that a process was runnable without a core, in seconds.
+    """Return the time that a process has waited, runnable, for a core, in seconds.
 
-    0 where the kernel does not count it.
+    0 if the kernel has no scheduler statistics.
     """
     try:
         return _schedstat_seconds(pid, _SchedstatField.RUNNABLE)
@@ -101,7 +101,7 @@
     """Return the resident memory of a process, in MiB.
 
     Raises:
-        ProcessUsageError: The process has ended and holds no memory.
+        ProcessUsageError: The process has ended.
     """
     for line in (PROC / str(pid) / "status").read_text().splitlines():
         if line.startswith("VmRSS:"):
@@ -110,7 +110,7 @@
 
 
 async def terminate(process: asyncio.subprocess.Process) -> None:
-    """End a process with SIGTERM, or with SIGKILL if it still runs after `TERMINATION_TIMEOUT_S`."""
+    """Terminate a process with SIGTERM, then with SIGKILL if it still runs after `TERMINATION_TIMEOUT_S`."""
     if process.returncode is not None:
         return
     with contextlib.suppress(ProcessLookupError):
@@ -134,8 +134,8 @@
         """Run `python -m MODULE ARGUMENTS`.
 
         Args:
-            module_and_arguments: The module's name, then its command line.
-            log: The file that its output is appended to. A process with a log has no pipes for messages.
+            module_and_arguments: The module's name, then its command-line arguments.
+            log: A file to which the output is appended. A process with a log file has no message pipes.
         """
         command = (sys.executable, "-m", *module_and_arguments)
         if log is None:
@@ -156,19 +156,21 @@
     async def send(self, message: object) -> None:
         """Write a message to the process."""
         if self._process.stdin is None:
-            raise ValueError(f"process {self.pid} was started without pipes")
+            raise ValueError(f"cannot send to process {self.pid}: it has a log file and no message pipes")
         self._process.stdin.write(msgspec.json.encode(message) + b"\n")
         await self._process.stdin.drain()
 
     async def receive(self, reply_type: type[Reply]) -> Reply:
-        """Return the next message of the process.
+        """Return the next message from the process.
 
         Raises:
             ChildProcessEndedError: The process has ended.
             msgspec.DecodeError: The message has another type.
         """
         if self._process.stdout is None:
-            raise ValueError(f"process {self.pid} was started without pipes")
+            raise ValueError(
+                f"cannot receive from process {self.pid}: it has a log file and no message pipes"
+            )
         line = await self._process.stdout.readline()
         if not line:
             raise ChildProcessEndedError(self.pid, await self._process.wait())
@@ -180,15 +182,15 @@
         return await self.receive(reply_type)
 
     def usage(self) -> ProcessUsage:
-        """Read the resource usage of the process so far."""
+        """Read the resource usage of the process since its start."""
         return ProcessUsage.of(self.pid)
 
     async def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process with SIGKILL and wait until it has ended."""
         with contextlib.suppress(ProcessLookupError):
             self._process.kill()
         await self._process.wait()
 
     async def terminate(self) -> None:
-        """End the process; see `terminate`."""
+        """Terminate the process; see the function `terminate`."""
         await terminate(self._process)
--- a/benchmarks/support/proxy_process.py
+++ b/benchmarks/support/proxy_process.py
@@ -1,4 +1,4 @@
-"""Real proxies as child processes: their configuration, start, readiness and end."""
+"""Real proxies as child processes: configuration, start, readiness check and termination."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 from benchmarks.support.processes import ROOT, terminate
 from loadbalancer.http.addresses import Address, parse_address
 
-START_TIMEOUT_S = 30.0  # from a process's start until it is ready, on a busy machine
+START_TIMEOUT_S = 30.0  # from a process's start until it is ready; long enough for a busy machine
 READINESS_PATH = "/up"
 READINESS_POLL_S = 0.05
 MAX_LOG_LINES = 200
-DEPLOYED_SOCKETS = 1024  # file descriptors that a node may hold in today's deployment
+DEPLOYED_SOCKETS = 1024  # a node's limit on open file descriptors in the deployment
 PROXY_MODULE = "loadbalancer"
 LISTENING_LOG_TEXT = "proxy serving"
 
-# An ordinary deployment: several classes, latency objectives of seconds, no load reports, ample limits.
+# A typical deployment: several service classes, latency objectives of seconds, no load reports, high limits.
 PLATFORM_SETTINGS: dict[str, Any] = {
     "bounds": {
         "cancel": True,
@@ -54,14 +54,14 @@
     seed: int,
     sockets: int = DEPLOYED_SOCKETS,
 ) -> bytes:
-    """Return a proxy's configuration file.
+    """Return the content of a proxy's configuration file.
 
     Args:
         name: The node's name.
         discovery_address: Host and port of the list server that the proxy watches.
         cached_list: The complete endpoint list that the proxy starts from.
-        seed: Of the proxy's random source.
-        sockets: File descriptors that the proxy may hold.
+        seed: Seed of the proxy's random number generator.
+        sockets: The proxy's limit on open file descriptors.
     """
     return msgspec.json.encode(
         {
@@ -77,11 +77,11 @@
 
 
 class ProxyProcess:
-    """A real proxy in a child process, with its last log lines."""
+    """A real proxy in a child process, and its most recent log lines."""
 
     def __init__(self, process: asyncio.subprocess.Process) -> None:
         self.pid = process.pid
-        self.address = Address("", 0)  # set once the proxy listens
+        self.address = Address("", 0)  # set when the proxy listens
         self.log: deque[str] = deque(maxlen=MAX_LOG_LINES)
         self._process = process
         self._listening = asyncio.Event()
@@ -97,17 +97,17 @@
         module: str = PROXY_MODULE,
         environment: dict[str, str] | None = None,
     ) -> ProxyProcess:
-        """Start a proxy and wait until it is ready.
+        """Write a proxy's configuration file, start the proxy and wait until it is ready.
 
         Args:
-            folder: Where the configuration file is written.
+            folder: The folder of the configuration file.
             name: The file's name, without its suffix.
-            configuration: Its content.
+            configuration: The file's content.
             module: The module that runs as the proxy.
-            environment: Variables added to this process's own.
+            environment: Variables added to this process's environment.
 
         Raises:
-            TimeoutError: The proxy is not ready within `START_TIMEOUT_S`; it is ended.
+            TimeoutError: The proxy is not ready within `START_TIMEOUT_S`; it is terminated.
         """
         path = folder / f"{name}.json"
         path.write_bytes(configuration)
@@ -123,7 +123,7 @@
         """Wait until the proxy's readiness endpoint responds 200.
 
         Raises:
-            TimeoutError: It does not within `START_TIMEOUT_S`.
+            TimeoutError: The proxy is not ready within `START_TIMEOUT_S`.
         """
         async with asyncio.timeout(START_TIMEOUT_S):
             await self._listening.wait()
@@ -133,17 +133,19 @@
                 await asyncio.sleep(READINESS_POLL_S)
 
     async def is_ready(self) -> bool:
-        """Return whether the readiness endpoint states that the proxy can serve."""
+        """Return whether the readiness endpoint responds that the proxy can serve."""
         return await responds_ok(self.address, READINESS_PATH)
 
     async def stop(self) -> None:
-        """End the process and read the rest of its log."""
+        """Terminate the process and read the rest of its log."""
         await terminate(self._process)
         await self._log_reader
 
     async def _read_log(self) -> None:
         if self._process.stderr is None:
-            raise ValueError(f"process {self.pid} was started without a pipe for its log")
+            raise ValueError(
+                f"cannot read the log of proxy process {self.pid}: its standard error is not a pipe"
+            )
         async for line in self._process.stderr:
             text = line.decode("utf-8", "replace").rstrip()
             self.log.append(text)
--- a/benchmarks/support/records.py
+++ b/benchmarks/support/records.py
@@ -1,4 +1,4 @@
-"""Records of measured figures, and the rows of tables and result files that they become."""
+"""Records of measured figures, and their conversion to rows of tables and result files."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 import msgspec
 
-Row = Mapping[str, object]  # a record under the names of its table and result file
+Row = Mapping[str, object]  # a record's figures by their names in the table and result file
 
 
 class Record(msgspec.Struct, frozen=True, kw_only=True):
-    """The figures of one row; a field's name in tables and result files may differ from its name here."""
+    """The figures of one row; `msgspec.field(name=...)` sets a field's name in tables and result files."""
 
     def row(self) -> dict[str, object]:
-        """Return the figures under their names in the result file, in the order of the columns."""
+        """Return the figures by their names in the result file, in column order."""
         return cast("dict[str, object]", msgspec.to_builtins(self))
 
 
--- a/benchmarks/support/regression.py
+++ b/benchmarks/support/regression.py
@@ -1,4 +1,4 @@
-"""Least-squares lines through measured points, with their standard errors."""
+"""Linear regression of measured figures, with standard errors."""
 
 from __future__ import annotations
 
@@ -10,40 +10,40 @@
 
 from benchmarks.support.records import Row
 
-MIN_SLOPE_SIZES = 4  # different sizes that a slope needs
+MIN_SLOPE_SIZES = 4  # minimum number of different sizes for a regression
 
 
 class InsufficientSizesError(ValueError):
-    """A line was requested through fewer than `MIN_SLOPE_SIZES` different sizes."""
+    """A regression has fewer than `MIN_SLOPE_SIZES` different sizes."""
 
     def __init__(self, sizes: Sequence[float]) -> None:
-        super().__init__(f"a slope needs {MIN_SLOPE_SIZES} sizes, not {list(sizes)}")
+        super().__init__(f"regression: expected at least {MIN_SLOPE_SIZES} sizes, found {list(sizes)}")
         self.sizes = sizes
 
 
 class ColumnTypeError(TypeError):
-    """A line was requested through a column with a value that is no number."""
+    """A column of a regression has a value that is not a number."""
 
     def __init__(self, column: str, value: object) -> None:
-        super().__init__(f"column {column!r} has the value {value!r}, which is no number")
+        super().__init__(f"regression over column {column!r}: expected a number, found {value!r}")
         self.column = column
 
 
 @dataclass(frozen=True, slots=True)
 class Slope:
-    """A least-squares line: `base + per_unit * size`, in the unit of the figures that it is fitted to."""
+    """A least-squares line: `base + per_unit * size`, in the unit of the fitted figures."""
 
     base: float
     per_unit: float
     error: float  # the standard error of `per_unit`
-    r2: float  # the fraction of the variance that the line explains
+    r2: float  # coefficient of determination: the fraction of the variance that the line explains
 
     def at(self, size: float) -> float:
-        """Return the line's figure at a size; outside the measured sizes, an extrapolation."""
+        """Return the line's figure at a size; outside the measured sizes this is an extrapolation."""
         return self.base + self.per_unit * size
 
     def describe(self, unit: str = "") -> str:
-        """Return the line as text, with the unit of its size."""
+        """Return the line as text; `unit` is the unit of the size."""
         line = " ".join(filter(None, (f"{self.base:.5g} + {self.per_unit:.5g} ± {self.error:.2g}", unit)))
         return f"{line}, r2 {self.r2:.3f}"
 
@@ -70,14 +70,14 @@
     """Return the least-squares line of column `y` over column `x`.
 
     Raises:
-        ColumnTypeError: A row's value in one of the columns is no number.
+        ColumnTypeError: A row's value in one of the columns is not a number.
         InsufficientSizesError: There are fewer than `MIN_SLOPE_SIZES` different sizes.
     """
     return linear_regression(_numbers(rows, x), _numbers(rows, y))
 
 
 def has_enough_sizes(rows: Sequence[Row], x: str) -> bool:
-    """Return whether column `x` has as many different sizes as a slope needs."""
+    """Return whether column `x` has at least `MIN_SLOPE_SIZES` different sizes."""
     return len({row[x] for row in rows}) >= MIN_SLOPE_SIZES
 
 
--- a/benchmarks/support/report.py
+++ b/benchmarks/support/report.py
@@ -15,7 +15,7 @@
 
 
 def format_table(rows: Sequence[Row]) -> str:
-    """Return rows of the same keys as aligned text, figures to four digits."""
+    """Return rows with the same keys as an aligned text table; floats have four significant digits."""
     if not rows:
         return "(no rows)"
     lines = [list(rows[0]), *([_format_cell(value) for value in row.values()] for row in rows)]
@@ -33,9 +33,9 @@
     """Write the result file of a run.
 
     Args:
-        path: The file; its folder is created.
+        path: The file; its folder is created if it does not exist.
         rows: The figures as measured.
-        slopes: The lines fitted to them.
+        slopes: The regression lines of the figures.
         about: Further content of the file, such as the run's plan.
     """
     path.parent.mkdir(parents=True, exist_ok=True)
--- a/benchmarks/support/transports.py
+++ b/benchmarks/support/transports.py
@@ -1,4 +1,4 @@
-"""Checks on the transports that asyncio gives to protocols."""
+"""Type checks of the transports that asyncio passes to protocols."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 def require_stream_transport(transport: asyncio.BaseTransport) -> asyncio.Transport:
-    """Return the transport as one of a byte stream.
+    """Return the transport if it is a byte-stream transport.
 
     Raises:
-        TypeError: It is of another kind.
+        TypeError: The transport has another type.
     """
     if not isinstance(transport, asyncio.Transport):
-        raise TypeError(f"a stream transport is needed, not {type(transport).__name__}")
+        raise TypeError(f"expected a byte-stream transport, found {type(transport).__name__}")
     return transport
