--- a/benchmarks/hollow/__init__.py
+++ b/benchmarks/hollow/__init__.py
@@ -1,1 +1,1 @@
-"""The cost of many watches to a list server and to hollow nodes: `python -m benchmarks.hollow`."""
+"""The cost of many watches for a list server and for hollow nodes: `python -m benchmarks.hollow`."""
--- a/benchmarks/hollow/__main__.py
+++ b/benchmarks/hollow/__main__.py
@@ -2,8 +2,9 @@
 
 The command runs the real watch code of many nodes, without their data path, against a list server on
 loopback: a plain one, a discovery server, or a chain of discovery servers. For each number of watches it
-measures processor time, memory, bytes and the time until the last node has a change: with few changes, in a
-zone's loss, and after the server's restart. It prints tables and writes a JSON file with the slopes.
+measures processor time, memory, bytes and the time until the last node has received a change: at steady rates
+of change, at the loss of a zone, and after a restart of the server. It prints tables and writes a JSON file
+with the slopes.
 """
 
 from __future__ import annotations
@@ -45,14 +46,18 @@
     type=click.Choice([layout.value for layout in ListLayout]),
     default=ListLayout.ONE.value,
     show_default=True,
-    help="Which lists there are.",
+    help="Which lists the server has.",
+)
+@click.option(
+    "--sizes", default=DEFAULT_SIZES, show_default=True, help="Numbers of watches, separated by commas."
 )
-@click.option("--sizes", default=DEFAULT_SIZES, show_default=True, help="Watches, separated by commas.")
 @click.option("--processes", default=4, show_default=True, help="Processes of hollow nodes.")
 @click.option("--calm-s", default=24.0, show_default=True, help="Seconds at 7,200 changes a day.")
 @click.option("--rate-s", default=15.0, show_default=True, help="Seconds at --rate.")
 @click.option("--rate", default=1.0, show_default=True, help="Changes a second.")
-@click.option("--bursts", default=2, show_default=True, help="Zones that are lost and restored.")
+@click.option(
+    "--bursts", default=2, show_default=True, help="Losses of a zone, each followed by its recovery."
+)
 @click.option("--restarts", default=2, show_default=True, help="Restarts of the server that the nodes watch.")
 @click.option("--balancer", "with_policy", is_flag=True, help="Each hollow node has a policy.")
 @click.option("--quick", is_flag=True, help="Short phases, one burst and one restart.")
--- a/benchmarks/hollow/change_deliveries.py
+++ b/benchmarks/hollow/change_deliveries.py
@@ -1,4 +1,4 @@
-"""The delivery of list changes to the watches: counts, and times from a change's writing at the source."""
+"""Deliveries of list changes to watches: counts, and times since the change was written at the source."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class DeliveryFigures(Record, frozen=True, kw_only=True):
-    """Quantiles in milliseconds, and counts; None: nothing was delivered."""
+    """Quantiles of delivery times, and counts of deliveries; None: there are no deliveries."""
 
     p50_ms: float | None
     p99_ms: float | None
@@ -28,21 +28,23 @@
 
 @dataclass(slots=True)
 class ChangeDeliveries:
-    """The deliveries of several changes; times are in seconds from a change's writing."""
+    """The deliveries of several changes; times are in seconds since the change was written at the source."""
 
-    expected: int = 0  # deliveries, one for each change and watch of its lists
+    expected: int = 0  # one delivery for each change and watch of its lists
     delivered: int = 0
-    repeated: int = 0  # times that a watch received a change again as a delta
-    times_s: list[float] = field(default_factory=list)  # of each delivery, until the node had parsed it
-    read_times_s: list[float] = field(default_factory=list)  # of each delivery, until its bytes were read
-    last_times_s: list[float] = field(default_factory=list)  # of each change that reached all: its last one
+    repeated: int = 0  # deltas that delivered a change to a watch again
+    times_s: list[float] = field(default_factory=list)  # of each delivery, until the node has parsed it
+    read_times_s: list[float] = field(default_factory=list)  # of each delivery, until its bytes are read
+    last_times_s: list[float] = field(
+        default_factory=list
+    )  # the last delivery of each fully delivered change
 
     def add_change(self, written_at_s: float, parts: Sequence[ChangeDelivery]) -> None:
         """Add one change.
 
         Args:
-            written_at_s: When it was written, by the clock of the parts.
-            parts: Its delivery to each process of hollow nodes.
+            written_at_s: The time of the write, by the same clock as the times of the parts.
+            parts: The change's delivery to each process of hollow nodes.
         """
         expected = sum(part.expected for part in parts)
         delivered = sum(part.delivered for part in parts)
@@ -56,7 +58,7 @@
             self.last_times_s.append(max(times_s))
 
     def merge(self, other: ChangeDeliveries) -> None:
-        """Add the changes of another object to these."""
+        """Add all deliveries of `other`."""
         self.expected += other.expected
         self.delivered += other.delivered
         self.repeated += other.repeated
@@ -65,7 +67,7 @@
         self.last_times_s += other.last_times_s
 
     def figures(self) -> DeliveryFigures:
-        """Return quantiles and counts."""
+        """Return the quantiles of the delivery times, and the counts."""
         return DeliveryFigures(
             p50_ms=_quantile_ms(self.times_s, 0.5),
             p99_ms=_quantile_ms(self.times_s, 0.99),
--- a/benchmarks/hollow/discovery_server_chain.py
+++ b/benchmarks/hollow/discovery_server_chain.py
@@ -1,4 +1,4 @@
-"""Discovery servers in child processes, in a chain behind a registry."""
+"""A chain of discovery servers in child processes, with a plain list server as the registry upstream."""
 
 from __future__ import annotations
 
@@ -22,28 +22,30 @@
 READY_TIMEOUT_S = 60.0  # from a server's start until a list is served
 READY_POLL_S = 0.02
 REGISTRY_ROLE = "registry"
-MAX_CONNECTIONS = 10_000  # of a discovery server
+MAX_CONNECTIONS = 10_000  # configured limit of a discovery server
 MAX_WATCHES = 10_000
 PROBLEM_LEVELS = ("warning", "error")
 
 
 class ListNotServedError(TimeoutError):
-    """A list is not served within `READY_TIMEOUT_S` after its server's start."""
+    """A discovery server does not serve a list within `READY_TIMEOUT_S` after its start."""
 
     def __init__(self, port: int) -> None:
-        super().__init__(f"no list is served at port {port} after {READY_TIMEOUT_S:g} s")
+        super().__init__(
+            f"discovery server: no list at port {port} within {READY_TIMEOUT_S:g} s of the start"
+        )
         self.port = port
 
 
 class _LogLine(msgspec.Struct):
-    """The fields of a discovery server's log line that are read here."""
+    """The fields of a discovery server's log line that this module reads."""
 
     level: str
     event: str
 
 
 class DiscoveryServerChain:
-    """Discovery servers in a chain behind a plain list server as the registry; nodes watch the last one."""
+    """A chain of discovery servers; the first watches a plain list server, and the nodes watch the last."""
 
     def __init__(self, folder: Path, server_roles: Sequence[str]) -> None:
         self.roles: dict[str, ChildProcess] = {}
@@ -89,7 +91,7 @@
         return time.monotonic()
 
     def logged_problems(self) -> Counter[str]:
-        """See `ServerUnderTest`; lines that are no events, such as tracebacks, count as "other output"."""
+        """See `ServerUnderTest`; lines without an event, such as tracebacks, count as "other output"."""
         problems: Counter[str] = Counter()
         for role in self._server_roles:
             for line in self._log_file(role).read_bytes().splitlines():
@@ -111,7 +113,7 @@
         await self.roles.pop(self._server_roles[-1]).kill()
 
     async def start_watched_server(self, _services: ServiceLists, /) -> float:
-        """See `ServerUnderTest`; the server starts from its snapshot, and serves once its last list does."""
+        """See `ServerUnderTest`; the server loads its snapshot, and serves once its last list is served."""
         return await self._start_server(self._server_roles[-1], self.ports[-1:])
 
     async def close(self) -> None:
@@ -125,7 +127,7 @@
 def discovery_server_configuration(
     state_folder: Path, ports: Sequence[int], upstream_ports: Sequence[int]
 ) -> str:
-    """Return a discovery server's configuration: each list at its port, watched at its upstream port."""
+    """Return a discovery server's configuration: the listening port and the upstream port of each list."""
     lines = [
         f"state_dir = {str(state_folder)!r}",
         "[process]",
@@ -143,7 +145,7 @@
 
 
 async def wait_until_served(port: int) -> None:
-    """Wait until a list is served at this loopback port.
+    """Wait until a server responds with a list at this loopback port.
 
     Raises:
         ListNotServedError: The list is not served within `READY_TIMEOUT_S`.
--- a/benchmarks/hollow/measurement.py
+++ b/benchmarks/hollow/measurement.py
@@ -1,4 +1,4 @@
-"""The measurement of one number of watches: start, steady phases, events, and their record."""
+"""The measurement of one number of watches: start, steady phases, events, and the resulting record."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 async def measure(plan: Plan, watches: int, folder: Path, timing: RunTiming = DEFAULT_TIMING) -> HollowRecord:
-    """Run the plan with one number of watches and return its record; the folder holds the server's files."""
+    """Run the plan with one number of watches and return its record; server files are written to `folder`."""
     run = HollowRun(plan, watches, create_server(plan.server, folder), NodeProcesses(), timing)
     try:
         counts = WatchCounts(
@@ -65,7 +65,7 @@
 
 
 def create_server(kind: ServerKind, folder: Path) -> ServerUnderTest:
-    """Create a server of this kind, not started yet; the folder is for its files."""
+    """Create a server of this kind without starting it; its files are written to `folder`."""
     match kind:
         case ServerKind.PLAIN:
             return PlainServer(folder)
--- a/benchmarks/hollow/messages.py
+++ b/benchmarks/hollow/messages.py
@@ -1,6 +1,6 @@
-"""Messages between a run of hollow nodes and the processes that contain the nodes.
+"""Messages between a run of hollow nodes and the processes in which the nodes run.
 
-Times in fields that end in `_at_s` are seconds of the machine's monotonic clock, which all processes share.
+Fields that end in `_at_s` are seconds of the machine's monotonic clock, which is the same in all processes.
 """
 
 from __future__ import annotations
@@ -11,58 +11,58 @@
 
 
 class WatchedList(msgspec.Struct):
-    """A list and the loopback port at which it is watched."""
+    """An endpoint list and the loopback port at which nodes watch it."""
 
     port: int
-    cached: EndpointListMessage  # that its nodes start from
+    cached: EndpointListMessage  # the initial list of its nodes
 
 
 class StartNodes(msgspec.Struct):
-    """The first message: the nodes of the process. Its reply is `NodesStarted`."""
+    """The first message: the nodes of the process. The reply is `NodesStarted`."""
 
-    lists: dict[int, WatchedList]  # by number
-    watches: list[int]  # for each node the number of its list
+    lists: dict[int, WatchedList]  # by list number
+    watches: list[int]  # the list number of each node
     with_policy: bool  # whether each node has a policy
     seed: int
 
 
 class NodesStarted(msgspec.Struct):
-    """The watch of each node has had its first response."""
+    """Reports that the watch of every node has received its first response."""
 
     nodes: int
 
 
 class ExpectChange(msgspec.Struct, tag=True):
-    """Announces a change before it is written. Its reply is `Acknowledgement`."""
+    """Announces a change before it is written. The reply is `Acknowledgement`."""
 
     serial: int
-    lists: list[int]  # that the change concerns
-    lost_zone: str = ""  # the zone that the lists lose, if the change is a zone's loss
+    lists: list[int]  # the numbers of the changed lists
+    lost_zone: str = ""  # the removed zone if the change is the loss of a zone, else empty
 
 
 class CountersRequest(msgspec.Struct, tag=True):
-    """Requests the counters. Its reply is `NodeCounters`."""
+    """Requests the counters. The reply is `NodeCounters`."""
 
-    clear: bool  # reset the counters afterwards; the reply then also has the delivery times
+    clear: bool  # reset the counters after the reply, which then includes the delivery times
 
 
 NODES_REQUESTS: msgspec.json.Decoder[ExpectChange | CountersRequest] = msgspec.json.Decoder(
     ExpectChange | CountersRequest
-)  # of the messages after the first one
+)  # for all messages after the first
 
 
 class Acknowledgement(msgspec.Struct):
-    """The message has been processed."""
+    """Confirms that a message has been processed."""
 
 
 class ChangeDelivery(msgspec.Struct):
     """The delivery of one change to the nodes of a process."""
 
-    expected: int  # watches that the change concerns
-    delivered: int  # watches that have received it
-    repeated: int = 0  # times that a watch received it again as a delta
-    delivered_at_s: list[float] = []  # for each watch: when it was parsed and delivered
-    read_at_s: list[float] = []  # for each watch: when its bytes had been read
+    expected: int  # number of watches of the changed lists
+    delivered: int  # number of watches that have received the change
+    repeated: int = 0  # deltas that delivered the change to a watch again
+    delivered_at_s: list[float] = []  # for each watch: when the change is parsed and delivered
+    read_at_s: list[float] = []  # for each watch: when the last bytes of the change are read
 
 
 class NodeCounters(msgspec.Struct):
@@ -70,10 +70,10 @@
 
     changes: dict[int, ChangeDelivery]  # by serial number
     responses: int = 0  # to watches
-    failed: int = 0  # watches that failed
-    changed_responses: int = 0  # with entries
+    failed: int = 0  # failures of watches
+    changed_responses: int = 0  # responses with entries
     changed_response_bytes: int = 0
     complete_lists: int = 0  # responses with a complete list
-    revision_regressions: int = 0  # responses with an older revision than the watch had
-    received_bytes: int = 0  # on all connections
+    revision_regressions: int = 0  # responses with an older revision than the watch's
+    received_bytes: int = 0  # on all connections of the process
     sent_bytes: int = 0
--- a/benchmarks/hollow/metered_watch.py
+++ b/benchmarks/hollow/metered_watch.py
@@ -1,4 +1,4 @@
-"""The node's real watch, over a connection that counts its bytes."""
+"""The proxy's watch client over a connection that counts bytes."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 class MeteredConnection(ClientConnection):
-    """The node's connection to discovery; counts its bytes and records when they arrive."""
+    """A watch's connection to its list server, which counts bytes and records when they arrive."""
 
-    received_bytes = 0  # over all connections
-    sent_bytes = 0  # over all connections
+    received_bytes = 0  # total of all connections of the process
+    sent_bytes = 0  # total of all connections of the process
     read_at_s = 0.0  # when the last bytes arrived
-    response_bytes = 0  # of the last response, its head included
+    response_bytes = 0  # of the last response, including its head
 
     def send_request(self, data: bytes, exchange: Exchange) -> None:
         """See `ClientConnection.send_request`."""
@@ -38,16 +38,18 @@
 
 
 class MeteredWatch(WatchClient):
-    """The node's watch of its list, over a metered connection."""
+    """A node's watch of its endpoint list over a metered connection."""
 
     @property
     def connection(self) -> MeteredConnection:
-        """The connection, which is open while a response is being delivered."""
+        """The current connection; it is open while a response is being delivered."""
         if not isinstance(self._connection, MeteredConnection):
-            raise TypeError("a hollow node's watch has no metered connection")
+            raise TypeError(
+                f"hollow node's watch: expected a MeteredConnection, found {type(self._connection).__name__}"
+            )
         return self._connection
 
 
 def use_metered_connections() -> None:
-    """Have every watch of this process open metered connections; the watch's code is unchanged otherwise."""
+    """Make all watches of this process open metered connections; their code is otherwise unchanged."""
     vars(watch_client)["ClientConnection"] = MeteredConnection
--- a/benchmarks/hollow/node.py
+++ b/benchmarks/hollow/node.py
@@ -1,4 +1,4 @@
-"""One hollow node: a real watch and, on request, a real policy, without a data path."""
+"""One hollow node: a real watch and optionally a real policy, without a data path."""
 
 from __future__ import annotations
 
@@ -25,18 +25,18 @@
         policy: LoadBalancingPolicy | None,
         on_update: Callable[[HollowNode, EndpointList | None], None],
     ) -> None:
-        """Prepare a watch.
+        """Create the node; its watch is not started yet.
 
         Args:
-            list_number: The number of the list.
-            address: Where the list is watched.
-            cached: The list that the node starts from.
-            policy: The node's policy, if it has one.
-            on_update: Called with each update; None in place of a list: the watch has failed.
+            list_number: The number of the watched list.
+            address: The address at which the list is served.
+            cached: The initial list.
+            policy: The node's policy, if the run includes policies.
+            on_update: Called with each update; None instead of a list: the watch has failed.
         """
         self.list_number = list_number
         self.revision = cached.revision
-        self.delivered_serials: set[int] = set()  # of the changes that it has received
+        self.delivered_serials: set[int] = set()  # serial numbers of the changes that the node has received
         self.watcher = MeteredWatch(
             address, cached.revision, WatchOptions(WATCH_WAIT_MS, retries_forever=True), self._on_update
         )
--- a/benchmarks/hollow/node_group.py
+++ b/benchmarks/hollow/node_group.py
@@ -1,4 +1,4 @@
-"""All hollow nodes of one process, and how often each change reaches them."""
+"""All hollow nodes of one process, and counters of the changes delivered to them."""
 
 from __future__ import annotations
 
@@ -23,23 +23,23 @@
 POLICY_SETTINGS = Settings(
     classes=(ServiceClass("read", 500.0, 1000.0, idempotency=Idempotency.IDEMPOTENT),), max_attempts=2
 )
-START_BATCH_SIZE = 10  # watches started at once
+START_BATCH_SIZE = 10  # watches started without a pause
 START_BATCH_INTERVAL_S = 0.02
 
 
 @dataclass(slots=True)
 class ExpectedChange:
-    """An announced change, and its deliveries so far."""
+    """An announced change and its current deliveries."""
 
     lists: frozenset[int]
     lost_zone: str
-    expected: int  # watches that it concerns
+    expected: int  # number of watches of the changed lists
     read_at_s: list[float] = field(default_factory=list)
     delivered_at_s: list[float] = field(default_factory=list)
     repeated: int = 0
 
     def delivery(self, *, with_times: bool) -> ChangeDelivery:
-        """Return the counts, and on request the times of each watch."""
+        """Return the counts and, if `with_times`, the delivery times of each watch."""
         delivery = ChangeDelivery(self.expected, len(self.delivered_at_s), self.repeated)
         if with_times:
             delivery.delivered_at_s = self.delivered_at_s
@@ -66,14 +66,14 @@
             )
             for number in start.watches
         ]
-        self.counters = NodeCounters({})  # changes and bytes are added when the counters are read
+        self.counters = NodeCounters({})  # `snapshot_counters` fills in changes and bytes
         self._watches_by_list = Counter(start.watches)
         self._expected: dict[int, ExpectedChange] = {}  # by serial number
-        self._waiting_for_first = set(self.nodes)  # nodes whose watch has had no response yet
+        self._waiting_for_first = set(self.nodes)  # nodes whose watch has no response yet
         self._all_watching = asyncio.Event()
 
     async def start(self) -> None:
-        """Start all watches, a batch at a time, and wait until each has had a response."""
+        """Start all watches in batches, and wait until each has received a response."""
         for index, node in enumerate(self.nodes):
             node.watcher.start()
             if index % START_BATCH_SIZE == START_BATCH_SIZE - 1:
@@ -82,12 +82,12 @@
             await self._all_watching.wait()
 
     def expect(self, change: ExpectChange) -> None:
-        """Count the deliveries of a change from now on."""
+        """Start to count the deliveries of an announced change."""
         expected = sum(self._watches_by_list[number] for number in change.lists)
         self._expected[change.serial] = ExpectedChange(frozenset(change.lists), change.lost_zone, expected)
 
     def count_update(self, node: HollowNode, endpoint_list: EndpointList | None) -> None:
-        """Count an update that a node's watch has just delivered; None: the watch has failed."""
+        """Count an update that a node's watch delivers; None: the watch has failed."""
         if endpoint_list is None:
             self.counters.failed += 1
             return
@@ -118,10 +118,11 @@
                 change.repeated += 1
 
     def _serials_in(self, node: HollowNode, endpoint_list: EndpointList) -> set[int]:
-        """Return the serial numbers of the changes that an endpoint list brings to a node.
+        """Return the serial numbers of the changes that an endpoint list delivers to a node.
 
-        A zone's loss shows in the removal or absence of its servers: a discovery server that detects the loss
-        by comparing complete lists removes the entries as it had them, without the serial number.
+        The loss of a zone is detected by the removal or absence of its servers: a discovery server that finds
+        the loss by comparing complete lists sends the removed entries with their previous content, which does
+        not have the serial number of the loss.
         """
         endpoints = endpoint_list.endpoints
         serials = {
@@ -140,7 +141,7 @@
         return serials
 
     def snapshot_counters(self, *, clear: bool) -> NodeCounters:
-        """Return the counters; with `clear`, reset them."""
+        """Return the counters; with `clear`, include the delivery times and reset the counters."""
         counters = self.counters
         counters.changes = {
             serial: change.delivery(with_times=clear) for serial, change in self._expected.items()
@@ -154,6 +155,6 @@
         return counters
 
     def close(self) -> None:
-        """End all watches."""
+        """Close all watches."""
         for node in self.nodes:
             node.watcher.close()
--- a/benchmarks/hollow/node_processes.py
+++ b/benchmarks/hollow/node_processes.py
@@ -1,4 +1,4 @@
-"""The processes of hollow nodes in a run, as the run addresses them together."""
+"""The child processes of a run in which the hollow nodes run, controlled as a group."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 
 class NodeProcesses:
-    """All processes of hollow nodes; each method applies to every one of them."""
+    """All processes of hollow nodes; each method applies to all of them."""
 
     def __init__(self) -> None:
         self._processes: list[ChildProcess] = []
 
     async def start(self, messages: Iterable[StartNodes]) -> None:
-        """Start a process for each message, and wait until all watches have had a response."""
+        """Start a process for each message, and wait until all watches have received a response."""
         for message in messages:
             process = await ChildProcess.start(NODES_MODULE)
             self._processes.append(process)
@@ -33,12 +33,12 @@
             await process.receive(NodesStarted)
 
     async def expect(self, change: ExpectChange) -> None:
-        """Announce a change that is about to be written."""
+        """Announce a change to all processes before it is written."""
         for process in self._processes:
             await process.request(change, Acknowledgement)
 
     async def read_counters(self, *, clear: bool) -> list[NodeCounters]:
-        """Return the counters of each process; with `clear`, also the delivery times, and reset them."""
+        """Return the counters of each process; with `clear`, include delivery times and reset them."""
         request = CountersRequest(clear)
         return [await process.request(request, NodeCounters) for process in self._processes]
 
@@ -51,6 +51,6 @@
         return sum(process.usage().resident_mib for process in self._processes)
 
     async def close(self) -> None:
-        """End all processes at once."""
+        """Kill all processes."""
         for process in self._processes:
             await process.kill()
--- a/benchmarks/hollow/nodes.py
+++ b/benchmarks/hollow/nodes.py
@@ -1,7 +1,7 @@
-"""The process of hollow nodes: the real watches of many nodes, without the data path.
+"""The child process of hollow nodes: the real watches of many nodes, without the data path.
 
 `python -m benchmarks.hollow.nodes` reads the messages of `benchmarks.hollow.messages` from standard input:
-`StartNodes` first, then announced changes and requests for the counters.
+`StartNodes` first, then any number of `ExpectChange` and `CountersRequest` messages.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 def raise_descriptor_limit() -> None:
-    """Raise this process's limit of file descriptors to the system's maximum."""
+    """Raise this process's soft limit on file descriptors to its hard limit."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft < hard:
         with contextlib.suppress(ValueError):
@@ -34,7 +34,7 @@
 
 
 async def main() -> None:
-    """Process the messages of standard input until it ends."""
+    """Process messages from standard input until it ends."""
     raise_descriptor_limit()
     logging.getLogger("loadbalancer").setLevel(logging.ERROR)
     use_metered_connections()
--- a/benchmarks/hollow/phases.py
+++ b/benchmarks/hollow/phases.py
@@ -1,4 +1,4 @@
-"""Phases of a run of hollow nodes: what they cost, and how their changes were delivered."""
+"""Phases of a run of hollow nodes: resource usage, counters and deliveries of the changes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class Phase:
-    """The cost of a phase, and the deliveries of its changes."""
+    """The resource usage of a phase, and the deliveries of its changes."""
 
     seconds: float
     cpu_s: dict[str, float]  # processor time by role
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BurstPhases:
-    """The loss of a zone and its return."""
+    """The loss of a zone, and the recovery that restores its servers."""
 
     loss: Phase
     recovery: Phase
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RestartPhase:
-    """A restart of the server that the nodes watch; delivery times count from its start."""
+    """A restart of the server that the nodes watch; delivery times are measured from the new start."""
 
     phase: Phase
-    serving_after_s: float  # from its start until it served again
+    serving_after_s: float  # from the new start until the server serves
--- a/benchmarks/hollow/plain_server.py
+++ b/benchmarks/hollow/plain_server.py
@@ -1,9 +1,9 @@
-"""A plain list server of many lists: the baseline for the discovery server.
+"""A plain list server for many lists, to which the discovery server is compared.
 
-The server listens at an address for each list and encodes each response for the one watch that gets it.
-`python -m benchmarks.hollow.plain_server FILE` reads its lists from a JSON file of `PlainList` and writes
-`PlainServerReady`. Standard input takes changed entries by list, a line of JSON each; a `ChangeWritten`
-confirms each line.
+The server listens at a separate port for each list and encodes every response separately for each watch.
+`python -m benchmarks.hollow.plain_server FILE` reads the lists from a JSON file of `PlainList` objects and
+writes `PlainServerReady`. Each line of standard input is a JSON object of changed entries by list number, and
+is confirmed with `ChangeWritten`.
 """
 
 from __future__ import annotations
@@ -25,30 +25,30 @@
 
 
 class PlainList(msgspec.Struct):
-    """A list to serve."""
+    """An endpoint list to serve."""
 
     revision: int
     entries: list[EndpointEntry]
-    port: int = 0  # 0: any that is free
+    port: int = 0  # 0: any free port
 
 
 class PlainServerReady(msgspec.Struct):
-    """The ports of all lists, once they are served."""
+    """Reports the ports of all lists when the server serves them."""
 
     ports: list[int]
 
 
 class ChangeWritten(msgspec.Struct):
-    """A change has been applied to the lists."""
+    """Confirms that a change has been applied to the lists."""
 
-    at_s: float  # when it was read, by the machine's monotonic clock
+    at_s: float  # when the change is read from standard input, by the machine's monotonic clock
 
 
 class UncachedMembership(Membership):
-    """A list whose responses are encoded again for each watch."""
+    """A membership that encodes every response again instead of sharing it among watches."""
 
     def watch_response(self, since: int | None) -> bytes:
-        """See `Membership.watch_response`; no encoding is reused."""
+        """See `Membership.watch_response`; cached encodings are not used."""
         self.discard_encoded_responses()
         return super().watch_response(since)
 
@@ -73,12 +73,12 @@
 
 
 def load_lists(path: Path) -> list[PlainList]:
-    """Return the lists in a JSON file."""
+    """Read the lists from a JSON file."""
     return msgspec.json.decode(path.read_bytes(), type=list[PlainList])
 
 
 async def main(path: Path) -> None:
-    """Serve the lists of a file until standard input ends."""
+    """Serve the lists of a file and apply changes until standard input ends."""
     running = await serve(load_lists(path))
     write_message(PlainServerReady(running.ports))
     changes = await open_standard_input()
--- a/benchmarks/hollow/plain_server_process.py
+++ b/benchmarks/hollow/plain_server_process.py
@@ -14,11 +14,13 @@
 from benchmarks.support.processes import ChildProcess
 
 PLAIN_ROLE = "plain"
-RESTART_REVISION_INCREMENT = 1_000_000  # a restarted plain server begins another history of its lists
+RESTART_REVISION_INCREMENT = (
+    1_000_000  # a restarted server has no change log; its revisions start above all old ones
+)
 
 
 class PlainServer:
-    """One plain list server, which the nodes watch directly."""
+    """A plain list server in a child process."""
 
     def __init__(self, folder: Path) -> None:
         self.roles: dict[str, ChildProcess] = {}
@@ -32,7 +34,7 @@
         await self.start_watched_server(services)
 
     async def change(self, changes: ListChanges) -> float:
-        """See `ServerUnderTest`; while the process is down, the file for its next start holds the change."""
+        """See `ServerUnderTest`; a process that is down reads the change from its file at the next start."""
         process = self.roles.get(PLAIN_ROLE)
         if process is None:
             return time.monotonic()
--- a/benchmarks/hollow/plan.py
+++ b/benchmarks/hollow/plan.py
@@ -1,4 +1,4 @@
-"""What a run of hollow nodes measures: its lists, its phases and their lengths."""
+"""The plan of a run of hollow nodes: its lists, its phases and their lengths."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
     server: ServerKind = ServerKind.PLAIN
     lists: int = 1
-    servers: int = 1000  # entries of all lists together
+    servers: int = 1000  # total entries of all lists
     largest: int = 1000  # entries of the largest list
-    processes: int = 4  # of hollow nodes
-    calm_s: float = 24.0  # seconds at 7,200 changes a day
-    rate_s: float = 15.0  # seconds at `rate`
+    processes: int = 4  # processes of hollow nodes
+    calm_s: float = 24.0  # length of the baseline phase, with 7,200 changes a day
+    rate_s: float = 15.0  # length of the phase with `rate`
     rate: float = 1.0  # changes a second
-    bursts: int = 2  # losses of a zone
-    restarts: int = 2
+    bursts: int = 2  # losses and recoveries of a zone
+    restarts: int = 2  # of the server that the nodes watch
     with_policy: bool = False  # whether each hollow node has a policy
     seed: int = 7
 
@@ -33,13 +33,13 @@
 class ListLayout(StrEnum):
     """Which lists the server has."""
 
-    ONE = "one"  # one list of the largest size
+    ONE = "one"  # one list with the size of the largest service
     FLEET = "fleet"  # all lists of the fleet
-    TOGETHER = "together"  # lists whose servers number as many as the watches
+    TOGETHER = "together"  # a scaled-down fleet with as many servers as watches
 
 
 def with_layout(plan: Plan, layout: ListLayout, watches: int) -> Plan:
-    """Return the plan with the lists of a layout."""
+    """Return the plan with the list sizes of a layout."""
     match layout:
         case ListLayout.ONE:
             return replace(plan, lists=1, servers=LARGEST_SERVICE, largest=LARGEST_SERVICE)
--- a/benchmarks/hollow/records.py
+++ b/benchmarks/hollow/records.py
@@ -1,4 +1,4 @@
-"""The figures of a run of hollow nodes: steady phases, events, and the record of one number of watches."""
+"""Figures of a run of hollow nodes: steady phases, events, and the record of one number of watches."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 @dataclass(frozen=True, slots=True)
 class RoleCost:
-    """The processor time of one role in a steady phase."""
+    """The processor time of one server role in a steady phase."""
 
     ms_per_s: float
-    ms_per_change: float | None  # None: not computed for the baseline phase, or without changes
+    ms_per_change: float | None  # None: the baseline phase, or a phase without changes
 
 
 class SteadyTraffic(Record, frozen=True, kw_only=True):
-    """The cost of the hollow nodes in a steady phase, and the responses to their watches."""
+    """The processor time of the hollow nodes in a steady phase, and the responses to their watches."""
 
     hollow_cpu_ms_per_s: float
     bytes_out_per_s: float
     bytes_in_per_s: float
-    bytes_per_change: float | None = msgspec.field(name="bytes_per_told")  # None: no response had entries
+    bytes_per_change: float | None = msgspec.field(name="bytes_per_told")  # None: no response with entries
     responses: int = msgspec.field(name="answers")
     failed: int
     complete_lists: int = msgspec.field(name="whole")
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SteadyFigures:
-    """The figures of a phase of steady changes."""
+    """The figures of a phase with a steady rate of changes."""
 
     changes: int
     costs: dict[str, RoleCost]  # by role
@@ -43,7 +43,7 @@
     deliveries: DeliveryFigures
 
     def row(self) -> dict[str, object]:
-        """Return the figures under their names in the result file."""
+        """Return the figures by their names in the result file."""
         row: dict[str, object] = {"changes": self.changes}
         for role, cost in self.costs.items():
             row[f"{role}_cpu_ms_per_s"] = cost.ms_per_s
@@ -53,11 +53,13 @@
 
 
 def steady_figures(phase: Phase, baseline: Phase) -> SteadyFigures:
-    """Return the figures of a phase of steady changes.
+    """Return the figures of a phase with a steady rate of changes.
+
+    The processor time per change excludes responses without a change, at their mean cost in the baseline.
 
     Args:
         phase: The phase.
-        baseline: The phase with the fewest changes, which shows the cost of a response without a change.
+        baseline: The phase with the fewest changes, which gives the cost of a response without a change.
     """
     return SteadyFigures(
         changes=phase.changes,
@@ -95,7 +97,7 @@
 
 
 class EventTraffic(Record, frozen=True, kw_only=True):
-    """The cost of the hollow nodes for one event, and the responses to their watches; means over events."""
+    """The processor time of the hollow nodes and the responses to their watches; means over all events."""
 
     hollow_cpu_ms: float
     seconds: float
@@ -111,15 +113,16 @@
 class EventFigures:
     """The figures of several bursts or restarts.
 
-    Costs are means of the cost of one event beyond the baseline phase; times are of all events together.
+    Processor times are means for one event, less the baseline phase's use over the same time. Delivery times
+    are quantiles over all events.
     """
 
-    cpu_ms: dict[str, float]  # processor time of one event by role
+    cpu_ms: dict[str, float]  # processor time of one event, by role
     traffic: EventTraffic
     deliveries: DeliveryFigures
 
     def row(self) -> dict[str, object]:
-        """Return the figures under their names in the result file."""
+        """Return the figures by their names in the result file."""
         costs: dict[str, object] = {f"{role}_cpu_ms": cpu_ms for role, cpu_ms in self.cpu_ms.items()}
         return costs | self.traffic.row() | self.deliveries.row()
 
@@ -128,8 +131,8 @@
     """Return the figures of several bursts or restarts; None if there are none.
 
     Args:
-        phases: One for each event.
-        baseline: The phase with the fewest changes.
+        phases: A phase for each event.
+        baseline: The phase with the fewest changes, whose processor time is subtracted.
     """
     if not phases:
         return None
@@ -162,7 +165,7 @@
 
 
 class WatchCounts(Record, frozen=True, kw_only=True):
-    """The size of a run, and the machine's load before it."""
+    """The sizes of a run, and the machine's load average before it."""
 
     watches: int
     lists: int
@@ -173,15 +176,15 @@
 
 @dataclass(frozen=True, slots=True)
 class EventsRecord:
-    """The bursts and restarts of a run; None: the plan has none."""
+    """The figures of a run's bursts and restarts; None: the plan has none."""
 
     burst: EventFigures | None
     recovery: EventFigures | None
     restart: EventFigures | None
-    restart_serving_ms: float | None  # from a server's start until it served, the longest
+    restart_serving_ms: float | None  # from a server's start until it serves, the maximum over all restarts
 
     def row(self) -> dict[str, object]:
-        """Return the figures under their names in the result file."""
+        """Return the figures by their names in the result file."""
         row: dict[str, object] = {}
         events = {"burst_": self.burst, "return_": self.recovery, "restart_": self.restart}
         for prefix, figures in events.items():
@@ -197,8 +200,8 @@
     """The figures of one number of watches; memory is in MiB, by role."""
 
     counts: WatchCounts
-    memory_before_mib: dict[str, float]  # before the watches
-    memory_mib: dict[str, float]  # with the watches
+    memory_before_mib: dict[str, float]  # before the watches start
+    memory_mib: dict[str, float]  # after all watches have started
     baseline: SteadyFigures
     rate: SteadyFigures
     events: EventsRecord
@@ -207,7 +210,7 @@
     load_after: float
 
     def row(self) -> dict[str, object]:
-        """Return the record under the names of the result file."""
+        """Return the figures by their names in the result file."""
         memory_row = {f"{role}_rss_mib": mib for role, mib in self.memory_mib.items()}
         end_memory_row = {f"end_{role}_rss_mib": mib for role, mib in self.end_memory_mib.items()}
         return {
--- a/benchmarks/hollow/report.py
+++ b/benchmarks/hollow/report.py
@@ -1,4 +1,4 @@
-"""Slopes and tables of runs of hollow nodes."""
+"""Regression lines and tables of runs of hollow nodes."""
 
 from __future__ import annotations
 
@@ -9,12 +9,23 @@
 from benchmarks.support.regression import Slope, has_enough_sizes, regress_columns
 from benchmarks.support.report import format_table
 
-COLUMN_GROUPS = ("", "calm_", "rate_", "burst_", "return_", "restart_", "log_")  # by prefix; "": all others
+COLUMN_GROUPS = (
+    "",
+    "calm_",
+    "rate_",
+    "burst_",
+    "return_",
+    "restart_",
+    "log_",
+)  # key prefixes; "": all other keys
 FITTED_SUFFIXES = ("_ms", "_mib", "_per_s", "_per_change", "_per_told", "_received", "_news_bytes")
 
 
 def regression_slopes(rows: Sequence[Row]) -> dict[str, Slope]:
-    """Return each figure's line over the watches, if there are enough sizes and no row lacks the figure."""
+    """Return each figure's line over the number of watches, for figures that all rows have.
+
+    The result is empty if there are too few sizes for a regression.
+    """
     if not has_enough_sizes(rows, "watches"):
         return {}
     return {
@@ -25,7 +36,7 @@
 
 
 def format_report(rows: Sequence[Row], slopes: Mapping[str, Slope]) -> str:
-    """Return the rows as a table for each group of columns, then the slopes."""
+    """Return a table for each group of columns, then a table of the slopes."""
     parts = [_format_group(rows, group) for group in COLUMN_GROUPS]
     slope_rows = [{"figure": name, **asdict(slope)} for name, slope in slopes.items()]
     return "\n\n".join([*parts, f"slopes over watches\n{format_table(slope_rows)}"])
--- a/benchmarks/hollow/run.py
+++ b/benchmarks/hollow/run.py
@@ -1,4 +1,4 @@
-"""One run of hollow nodes against a list server: steady changes, zone losses and restarts, each measured."""
+"""A run of hollow nodes against a list server, which measures steady changes, zone losses and restarts."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from benchmarks.support.membership import EndpointListMessage
 from benchmarks.support.processes import ProcessUsage
 
-HOLLOW_ROLE = "hollow"  # of the processes of hollow nodes
+HOLLOW_ROLE = "hollow"  # the role of the processes of hollow nodes
 
 
 class HollowRun:
@@ -30,25 +30,25 @@
         nodes: NodeProcesses,
         timing: RunTiming = DEFAULT_TIMING,
     ) -> None:
-        """Prepare a run.
+        """Create a run; no process is started yet.
 
         Args:
             plan: The lists and phases.
             watches: The number of hollow nodes.
-            server: The list server, not started yet.
-            nodes: The processes of hollow nodes, not started yet.
-            timing: The run's waits.
+            server: The list server.
+            nodes: The processes of hollow nodes.
+            timing: The run's delays and timeouts.
         """
         self.plan = plan
         self.services = ServiceLists(service_sizes(plan.lists, plan.servers, plan.largest), plan.seed)
-        self.watches = self.services.sample_watches(watches)  # the list's number for each node
+        self.watches = self.services.sample_watches(watches)  # the list number of each node
         self.server = server
         self._nodes = nodes
         self._timing = timing
         self._changes = WrittenChanges(server, nodes, timing)
 
     async def start(self) -> dict[str, float]:
-        """Start all processes and watches; return each role's memory before the watches, in MiB."""
+        """Start all processes and watches; return each role's memory before the watches start, in MiB."""
         await self.server.start(self.services)
         before_mib = {role: process.usage().resident_mib for role, process in self.server.roles.items()}
         await self._nodes.start(self._start_message(index) for index in range(self.plan.processes))
@@ -68,20 +68,20 @@
         return StartNodes(lists, watches, self.plan.with_policy, self.plan.seed + index)
 
     def memory_mib(self) -> dict[str, float]:
-        """Return the current resident memory by role, and that of all hollow nodes, in MiB."""
+        """Return the current resident memory in MiB, by role and for all hollow nodes together."""
         memory_mib = {role: process.usage().resident_mib for role, process in self.server.roles.items()}
         return memory_mib | {HOLLOW_ROLE: self._nodes.resident_mib()}
 
     async def close(self) -> None:
-        """End all processes."""
+        """Kill all processes."""
         await self._nodes.close()
         await self.server.close()
 
     async def run_steady(self, seconds: float, interval_s: float) -> Phase:
-        """Write the restart of one listed server at each interval, at least once.
+        """Write the restart of one random server at each interval, at least once.
 
         Args:
-            seconds: The phase's length; it is longer only while a watch lacks a change.
+            seconds: The phase's length; the phase lasts longer only while changes are not yet delivered.
             interval_s: Seconds between two changes.
         """
         interval_s = min(interval_s, seconds)
@@ -93,15 +93,16 @@
                 await asyncio.sleep(started + (index + 0.5) * interval_s - time.monotonic())
                 await self._write(self.services.restart_one(watched_lists))
             await asyncio.sleep(started + seconds - time.monotonic())
-            # Guard: the end of the phase resets the counters, so a change that a slow disk delays past it
-            # would count as missed. The phase lasts until the change is delivered, or its delivery times out.
+            # The end of the phase resets the counters, so a change that a slow disk delays past the end would
+            # count as missed. The phase therefore lasts until all changes are delivered or the delivery times
+            # out.
             if not await self._changes.all_delivered():
                 await self._changes.wait_until_delivered()
 
         return await self._measure_phase(change)
 
     async def run_burst(self, zone_number: int) -> BurstPhases:
-        """Remove a zone's servers from the lists at once, then restore them."""
+        """Measure the removal of a zone's servers in one change, then their recovery."""
         zone = f"z{zone_number:02d}"
         lost: ListChanges = {}
 
@@ -117,7 +118,7 @@
         return BurstPhases(await self._measure_phase(lose), await self._measure_phase(restore))
 
     async def run_restart(self) -> RestartPhase:
-        """Stop the server that the nodes watch, write a change while it is down, and start it again."""
+        """Kill the server that the nodes watch, write a change while it is down, and measure its restart."""
         serving_after_s = 0.0
 
         async def restart() -> None:
--- a/benchmarks/hollow/server_under_test.py
+++ b/benchmarks/hollow/server_under_test.py
@@ -1,4 +1,4 @@
-"""The interface of the list servers that hollow nodes watch: start, change and restart."""
+"""The interface of the list servers that hollow nodes watch."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
     """The kind of server that the hollow nodes watch."""
 
     PLAIN = "plain"  # a plain list server
-    DISCOVERY_SERVER = "directory"  # one discovery server behind a registry
-    CHAIN = "chain"  # the discovery servers of a region and a zone behind a registry
+    DISCOVERY_SERVER = "directory"  # one discovery server with a registry as its upstream
+    CHAIN = "chain"  # a registry, then the discovery servers of a region and of a zone
 
 
 class ServerUnderTest(Protocol):
-    """A list server, or a chain of them, with the source at which changes are written."""
+    """A list server or a chain of list servers; changes are written at the source of the lists."""
 
-    roles: dict[str, ChildProcess]  # its processes by role; the last one is the one that the nodes watch
+    roles: dict[str, ChildProcess]  # its processes by role; the nodes watch the last one
 
     @property
     def ports(self) -> list[int]:
-        """The port of each list, at which the nodes watch it."""
+        """The ports at which the nodes watch the lists, by list number."""
         ...
 
     async def start(self, services: ServiceLists) -> None:
@@ -37,11 +37,11 @@
         ...
 
     async def stop_watched_server(self) -> None:
-        """End the process that the nodes watch, without a shutdown."""
+        """Kill the process that the nodes watch, without a graceful shutdown."""
         ...
 
     async def start_watched_server(self, services: ServiceLists, /) -> float:
-        """Start that process again at the same addresses; return the time from which it serves."""
+        """Start that process again at the same addresses; return the time at which it serves."""
         ...
 
     def logged_problems(self) -> Counter[str]:
@@ -49,5 +49,5 @@
         ...
 
     async def close(self) -> None:
-        """End all processes."""
+        """Kill all processes."""
         ...
--- a/benchmarks/hollow/service_lists.py
+++ b/benchmarks/hollow/service_lists.py
@@ -1,4 +1,4 @@
-"""A model of the fleet's endpoint lists: services of skewed sizes, their endpoints, and changes to them."""
+"""A model of the fleet's endpoint lists: services with a skewed size distribution, and changes to them."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 ZONES = 29
 MODELS = 3
 POD_GROUPS = 8
-CHANGE_EPOCH_MS = 1_900_000_000_000  # a changed entry's `boot_ms` is this and the change's serial number
+CHANGE_EPOCH_MS = 1_900_000_000_000  # `boot_ms` of a changed entry is this plus the change's serial number
 MAX_SKEW_EXPONENT = 8.0
-SKEW_BISECTIONS = 60  # enough for the precision of a float
+SKEW_BISECTIONS = 60  # enough to reach the precision of a float
 
 ListChanges = dict[int, list[EndpointEntry]]  # changed entries by the number of their list
 
 
 class ServiceSizeError(ValueError):
-    """The number of servers does not fit the number of services of at most the given size."""
+    """The servers cannot be divided among the services within the maximum size."""
 
     def __init__(self, services: int, servers: int, largest: int) -> None:
-        super().__init__(f"{servers} servers don't make {services} services of at most {largest}")
+        super().__init__(f"cannot divide {servers} servers among {services} services of at most {largest}")
         self.services = services
         self.servers = servers
         self.largest = largest
@@ -33,7 +33,7 @@
 def service_sizes(
     services: int = SERVICES, servers: int = SERVERS, largest: int = LARGEST_SERVICE
 ) -> list[int]:
-    """Return the number of servers of each service, largest first: a power law of the service's rank.
+    """Return the number of servers of each service, largest first, as a power law of the service's rank.
 
     Args:
         services: The number of services.
@@ -41,7 +41,7 @@
         largest: The size of the largest service.
 
     Raises:
-        ServiceSizeError: No sizes meet these numbers.
+        ServiceSizeError: No sizes satisfy these numbers.
     """
     if not largest <= servers or not services <= servers or not largest * services >= servers:
         raise ServiceSizeError(services, servers, largest)
@@ -60,7 +60,7 @@
 
 
 def _distribute(missing: int, sizes: list[int], largest: int) -> None:
-    """Add the servers that rounding removed to the services after the largest, one server each."""
+    """Add the servers lost by rounding, one each, to the services after the largest."""
     services = len(sizes)
     index = 1
     while missing > 0:
@@ -71,12 +71,12 @@
 
 
 class ServiceLists:
-    """The endpoint lists of all services; the entries of each change carry its serial number."""
+    """The endpoint lists of all services; `boot_ms` of changed entries encodes the change's serial number."""
 
     def __init__(self, sizes: Iterable[int], seed: int) -> None:
         self.rng = Random(seed)
-        self.lists: list[dict[str, EndpointEntry]] = []  # by number: entries by uid
-        self.serial = 0  # of the last change
+        self.lists: list[dict[str, EndpointEntry]] = []  # by list number; each maps uid to entry
+        self.serial = 0  # serial number of the last change
         server_number = 0
         for size in sizes:
             entries: dict[str, EndpointEntry] = {}
@@ -100,20 +100,20 @@
         }
 
     def restart_one(self, list_numbers: Iterable[int]) -> ListChanges:
-        """Restart one server, drawn from the servers of these lists."""
+        """Restart one random server of these lists."""
         candidates = list(list_numbers)
         (number,) = self.rng.choices(candidates, [len(self.lists[number]) for number in candidates])
         uid = self.rng.choice(list(self.lists[number]))
         return self._change({number: [uid]}, READY)
 
     def restart_one_of_each(self, list_numbers: Iterable[int]) -> ListChanges:
-        """Restart one server on each of these lists in one change."""
+        """Restart one random server of each of these lists, in one change."""
         return self._change(
             {number: [self.rng.choice(list(self.lists[number]))] for number in list_numbers}, READY
         )
 
     def lose_zone(self, zone: str) -> ListChanges:
-        """Remove all servers of a zone in one change."""
+        """Remove all servers of a zone from the lists, in one change."""
         return self._change(self._uids_in_zone(zone), REMOVED)
 
     def restore(self, lost: ListChanges) -> ListChanges:
@@ -147,10 +147,10 @@
         return changes
 
     def sample_watches(self, count: int) -> list[int]:
-        """Return, for each of `count` nodes, the number of the list that it watches.
+        """Return the number of the watched list for each of `count` nodes.
 
-        Nodes are drawn from the fleet, in which each server has one node; beyond the fleet's size they
-        repeat.
+        Nodes are sampled from the fleet, in which each server has one node. If `count` exceeds the number of
+        servers, nodes are assigned to all servers in list order, repeatedly.
         """
         list_of_server = [number for number, entries in enumerate(self.lists) for _ in entries]
         if count <= len(list_of_server):
--- a/benchmarks/hollow/written_changes.py
+++ b/benchmarks/hollow/written_changes.py
@@ -1,4 +1,4 @@
-"""The changes of a run: their writing at the source, and their delivery to the hollow nodes."""
+"""The changes of a run: writes at the source, and deliveries to the hollow nodes."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RunTiming:
-    """The waits of a run, in seconds."""
+    """The delays and timeouts of a run, in seconds."""
 
-    settle_s: float = 1.0  # for a repeated delivery to arrive
-    downtime_s: float = 1.0  # between a server's end and its start
-    # After this, a change counts as missed by the watches that it has not reached.
+    settle_s: float = 1.0  # time in which repeated deliveries can still arrive
+    downtime_s: float = 1.0  # from a server's kill to its new start
+    # After this time, a change counts as missed by all watches without it.
     delivery_timeout_s: float = 30.0
 
 
@@ -30,13 +30,13 @@
 
 
 class WrittenChanges:
-    """Writes changes, and reads from the nodes' counters whether and when they are delivered."""
+    """Writes changes at the source, and reads their deliveries from the nodes' counters."""
 
     def __init__(self, server: ServerUnderTest, nodes: NodeProcesses, timing: RunTiming) -> None:
         self._server = server
         self._nodes = nodes
         self._timing = timing
-        self._written_at_s: dict[int, float] = {}  # by the change's serial number
+        self._written_at_s: dict[int, float] = {}  # by serial number
 
     async def write(self, serial: int, changes: ListChanges, lost_zone: str) -> None:
         """Announce a change to the hollow nodes, then write it at the source."""
@@ -44,11 +44,11 @@
         self._written_at_s[serial] = await self._server.change(changes)
 
     def count_from(self, serial: int, at_s: float) -> None:
-        """Count the delivery times of a change from another time than its writing."""
+        """Measure the delivery times of a change from `at_s` instead of its write."""
         self._written_at_s[serial] = at_s
 
     async def wait_until_delivered(self) -> None:
-        """Wait until all changes are delivered or the delivery times out, and for repeated deliveries."""
+        """Wait until all changes are delivered or the delivery times out, then for repeated deliveries."""
         deadline = time.monotonic() + self._timing.delivery_timeout_s
         while time.monotonic() < deadline:
             await asyncio.sleep(DELIVERY_POLL_S)
@@ -57,7 +57,7 @@
         await asyncio.sleep(self._timing.settle_s)
 
     async def all_delivered(self) -> bool:
-        """Return whether every change of this phase has reached all watches that it concerns."""
+        """Return whether every change of this phase is delivered to all watches of its lists."""
         return all(
             delivery.delivered >= delivery.expected
             for counters in await self._nodes.read_counters(clear=False)
@@ -65,7 +65,7 @@
         )
 
     def deliveries(self, serials: Sequence[int], counters: Sequence[NodeCounters]) -> ChangeDeliveries:
-        """Return the deliveries of changes, from the counters of each process of hollow nodes."""
+        """Return the deliveries of these changes, from the counters of all processes of hollow nodes."""
         deliveries = ChangeDeliveries()
         for serial in serials:
             parts = [process_counters.changes[serial] for process_counters in counters]
