--- a/benchmarks/control/__init__.py
+++ b/benchmarks/control/__init__.py
@@ -1,1 +1,1 @@
-"""The cost of following an endpoint list to a real proxy: `python -m benchmarks.control`."""
+"""The cost of endpoint list changes for a real proxy: `python -m benchmarks.control`."""
--- a/benchmarks/control/__main__.py
+++ b/benchmarks/control/__main__.py
@@ -1,7 +1,7 @@
-"""Measure the cost of following an endpoint list to a real proxy: `python -m benchmarks.control`.
+"""Measure the cost of endpoint list changes for a real proxy: `python -m benchmarks.control`.
 
-The proxies carry no requests. Proxies with lists of several sizes run side by side, each on a list server of
-its own in this process.
+The proxies receive no requests. Proxies with lists of several sizes run at the same time, each with its own
+list server in this process.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 async def measure(plan: Plan, out: Path) -> None:
-    """Run the plan, print its tables, write its result file."""
+    """Run the plan, print its tables and write its result file."""
     nodes = [FollowingNode(size, plan.seed) for size in plan.sizes]
     with tempfile.TemporaryDirectory() as folder:
         try:
@@ -41,7 +41,7 @@
 
 
 async def measure_all(plan: Plan, nodes: Sequence[FollowingNode]) -> ControlResults:
-    """Measure steady rates of change, then complete lists, then losses on the largest list."""
+    """Measure steady rates of change, then complete lists, then losses from the largest list."""
     measurements = await run_rounds(plan, nodes)
     for node in nodes:
         node.idle_cores = statistics.mean(measurements[ChangeRate(node.size, 0.0)].cores)
@@ -53,13 +53,13 @@
 
 
 async def measure_complete_list(plan: Plan, node: FollowingNode) -> dict[str, object]:
-    """Return the row of a node's complete list."""
+    """Measure updates with a node's complete list; return their table row."""
     cost = await measure_change(node, list, plan.repeats, compact=True)
     return {"list": node.size} | cost.record().row()
 
 
 async def measure_loss(plan: Plan, node: FollowingNode, count: int) -> dict[str, object]:
-    """Return the row of the loss of `count` entries at once."""
+    """Measure losses of `count` entries in one change; return their table row."""
     next_losses = partial(node.churn.next_losses, count)
     cost = await measure_change(node, next_losses, plan.repeats, restore=True)
     return {"list": node.size, "lost": count} | cost.record().row()
@@ -67,8 +67,8 @@
 
 @click.command()
 @sizes_option("13,100,400,1000,2000")
-@click.option("--seconds", default=24.0, show_default=True, help="For each rate of change.")
-@click.option("--rounds", default=2, show_default=True, help="Of all rates.")
+@click.option("--seconds", default=24.0, show_default=True, help="Seconds at each rate of change.")
+@click.option("--rounds", default=2, show_default=True, help="Rounds of all rates.")
 @seed_option
 @quick_option
 @out_option("control.json")
--- a/benchmarks/control/following_node.py
+++ b/benchmarks/control/following_node.py
@@ -1,6 +1,6 @@
-"""A proxy that follows an endpoint list of this process, and the times until changes are in force.
+"""A proxy that watches an endpoint list served by this process, and the times until changes are in force.
 
-A change is in force once the proxy's watch polls with its revision: the proxy applies a revision before it
+A change is in force when the proxy's watch polls with its revision: the proxy applies a revision before it
 polls for the next one.
 """
 
@@ -18,22 +18,22 @@
 from benchmarks.support.processes import cpu_seconds, run_queue_seconds
 from benchmarks.support.proxy_process import ProxyProcess, proxy_configuration
 
-IN_FORCE_TIMEOUT_S = 30.0  # within which a change has to be in force, or the run fails
+IN_FORCE_TIMEOUT_S = 30.0  # from the last change until all are in force; the run fails after it
 MILLISECONDS_PER_S = 1e3
 
 
 class FollowingNode:
-    """A list server of this process and the proxy that follows it."""
+    """A list server in this process and the proxy that watches it."""
 
     def __init__(self, size: int, seed: int) -> None:
         self.size = size
         self.server = ListServer(Membership(make_entries([UNUSED_ADDRESS] * size, seed)))
         self.server.on_poll = self._on_poll
         self.churn = Churn(self.server.membership, seed)
-        self.in_force_us: list[float] = []  # an item for each change since it was last cleared
-        self.idle_cores = 0.0  # in use without changes; set once that is measured
+        self.in_force_us: list[float] = []  # one item for each change since the last clear
+        self.idle_cores = 0.0  # cores in use without changes; set after its measurement
         self.proxy: ProxyProcess
-        self._pending_since: dict[int, float] = {}  # write times by revision
+        self._pending_since: dict[int, float] = {}  # write times by revision, for changes not yet in force
         self._all_in_force = asyncio.Event()
 
     async def start(self, folder: Path, seed: int) -> None:
@@ -45,14 +45,14 @@
         self.proxy = await ProxyProcess.start(folder, name, configuration)
 
     async def stop(self) -> None:
-        """End the proxy, if it was started, and the list server."""
+        """Stop the proxy, if it is started, and the list server."""
         if hasattr(self, "proxy"):
             await self.proxy.stop()
         self.server.close()
 
     @property
     def bytes_exchanged(self) -> int:
-        """Bytes in and out of the list server since the start."""
+        """Bytes received and sent by the list server since the start."""
         return self.server.bytes_in + self.server.bytes_out
 
     def change(self, entries: Sequence[EndpointEntry], *, compact: bool = False) -> None:
@@ -65,7 +65,7 @@
         """Wait until all changes are in force at the proxy.
 
         Raises:
-            TimeoutError: A change is not in force after `IN_FORCE_TIMEOUT_S`.
+            TimeoutError: A change is not in force within `IN_FORCE_TIMEOUT_S`.
         """
         async with asyncio.timeout(IN_FORCE_TIMEOUT_S):
             await self._all_in_force.wait()
@@ -79,7 +79,7 @@
             self._all_in_force.set()
 
     async def run_churn(self, per_s: float, seconds: float) -> None:
-        """Write `per_s` single changes a second, evenly spaced, for `seconds`."""
+        """Write evenly spaced changes of one entry, `per_s` a second, for `seconds`."""
         loop = asyncio.get_running_loop()
         started, count = loop.time(), round(per_s * seconds)
         for index in range(count):
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UsageSnapshot:
-    """A proxy's resource usage and its list server's traffic, up to a moment."""
+    """A proxy's resource usage and its list server's traffic, from the start to the time of the snapshot."""
 
     loop_s: float
     cpu_s: float
--- a/benchmarks/control/measurement.py
+++ b/benchmarks/control/measurement.py
@@ -1,4 +1,4 @@
-"""Measurement of proxies that follow a changing endpoint list and carry no requests."""
+"""Measurement of proxies that watch a changing endpoint list and receive no requests."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
 from benchmarks.support.records import Record
 from benchmarks.support.regression import standard_error
 
-SETTLE_S = 0.3  # after a change is in force, in which its further effects still count
+SETTLE_S = 0.3  # time after a change is in force that is still measured as part of its cost
 MICROSECONDS_PER_MS = 1e3
 
 
 @dataclass(slots=True)
 class RateMeasurements:
-    """The measurements at a change rate; lists have an item for each round unless they say otherwise."""
+    """The measurements at one rate of change; lists have one item for each round unless noted otherwise."""
 
-    cores: list[float] = field(default_factory=list)  # in use
-    run_queue: list[float] = field(default_factory=list)  # seconds a second of waiting for a core
+    cores: list[float] = field(default_factory=list)  # cores in use
+    run_queue: list[float] = field(default_factory=list)  # seconds of waiting for a core, per second
     bytes_per_s: list[float] = field(default_factory=list)
-    in_force_us: list[float] = field(default_factory=list)  # an item for each change
+    in_force_us: list[float] = field(default_factory=list)  # one item for each change
     load_average: list[float] = field(default_factory=list)
 
 
 class ChangeCostRecord(Record, frozen=True, kw_only=True):
-    """The cost of one change of many entries, over several repetitions."""
+    """The cost of one change of many entries, averaged over several repetitions."""
 
     cpu_ms: float
     cpu_error_ms: float
@@ -48,13 +48,13 @@
 class ChangeCost:
     """The measurements of one change of many entries, over several repetitions."""
 
-    cpu_ms: list[float] = field(default_factory=list)  # of each repetition: processor time less idle use
+    cpu_ms: list[float] = field(default_factory=list)  # of each repetition: processor time less the idle use
     bytes_exchanged: list[int] = field(default_factory=list)  # in each repetition
     in_force_ms: list[float] = field(default_factory=list)  # of each change
-    resident_mib: float = 0.0  # at the end
+    resident_mib: float = 0.0  # after the last repetition
 
     def record(self) -> ChangeCostRecord:
-        """Return means, the standard error, and the times until the changes were in force."""
+        """Return means, the standard error, and the median and maximum times until changes are in force."""
         return ChangeCostRecord(
             cpu_ms=statistics.mean(self.cpu_ms),
             cpu_error_ms=standard_error(self.cpu_ms),
@@ -66,7 +66,7 @@
 
 
 async def run_rounds(plan: Plan, nodes: Sequence[FollowingNode]) -> dict[ChangeRate, RateMeasurements]:
-    """Run all rates in turn, all nodes at once, round by round."""
+    """Run rounds of all rates in sequence, with all nodes at the same time."""
     measurements: dict[ChangeRate, RateMeasurements] = defaultdict(RateMeasurements)
     for _ in range(plan.rounds):
         for rate in plan.rates:
@@ -97,13 +97,13 @@
     restore: bool = False,
     compact: bool = False,
 ) -> ChangeCost:
-    """Measure changes of many entries at once.
+    """Measure changes that each contain many entries.
 
     Args:
-        node: The node that follows them.
-        next_entries: Returns the entries that change in the next repetition.
+        node: The node that receives the changes.
+        next_entries: Returns the changed entries of the next repetition.
         repeats: The number of repetitions.
-        restore: Whether the entries become ready again after each repetition.
+        restore: Whether the entries are made ready again after each repetition.
         compact: Whether the node receives each change as a complete list.
     """
     cost = ChangeCost()
--- a/benchmarks/control/plan.py
+++ b/benchmarks/control/plan.py
@@ -1,4 +1,4 @@
-"""What the control benchmark measures: list sizes, rates of change and losses."""
+"""The plan of the control benchmark: list sizes, rates of change and losses."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
     sizes: tuple[int, ...] = (13, 100, 400, 1000, 2000)  # endpoints in a list
     rates: tuple[float, ...] = (0.0, CHANGES_PER_DAY / DAY_S, 1.0, 10.0)  # changes a second
-    seconds: float = 24.0  # at each rate
-    rounds: int = 2  # of all rates
-    losses: tuple[int, ...] = (74, 148, 295, 590, 1180)  # entries lost at once
-    repeats: int = 5  # of each loss and of each complete list
+    seconds: float = 24.0  # duration of each rate
+    rounds: int = 2  # rounds of all rates
+    losses: tuple[int, ...] = (74, 148, 295, 590, 1180)  # entries lost in one change
+    repeats: int = 5  # repetitions of each loss and of each complete list
     seed: int = 7
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeRate:
-    """A list size and a rate, in changes a second, at which it is measured."""
+    """A list size and a rate of change, in changes a second, that are measured together."""
 
     list_size: int
     per_s: float
--- a/benchmarks/control/report.py
+++ b/benchmarks/control/report.py
@@ -24,13 +24,13 @@
 
 
 class RateRecord(Record, frozen=True, kw_only=True):
-    """The cost of a rate of change, beside the budget; None: no changes."""
+    """The cost of a rate of change, absolute and as a fraction of the budget; None: no changes."""
 
     list_size: int = msgspec.field(name="list")
     changes_per_s: float
     cores: float = msgspec.field(name="core")
     cores_error: float = msgspec.field(name="core_error")
-    run_queue: float = msgspec.field(name="waited")  # seconds a second of waiting for a core
+    run_queue: float = msgspec.field(name="waited")  # seconds of waiting for a core, per second
     cores_of_budget: float = msgspec.field(name="of_budget")
     bytes_per_s: float
     bytes_of_budget: float
@@ -46,14 +46,14 @@
 class ControlResults:
     """The rows of the three tables."""
 
-    rates: Sequence[Row]  # a row for each list size and rate of change
-    complete_lists: Sequence[Row]  # a row for each list size
-    losses: Sequence[Row]  # a row for each number of entries lost at once
+    rates: Sequence[Row]  # one row for each list size and rate of change
+    complete_lists: Sequence[Row]  # one row for each list size
+    losses: Sequence[Row]  # one row for each number of lost entries
 
 
 @dataclass(frozen=True, slots=True)
 class _Line:
-    """Rows, and the columns that a line is fitted to."""
+    """Rows, and the columns `x` and `y` of a regression over them."""
 
     rows: Sequence[Row]
     x: str
@@ -91,7 +91,7 @@
 
 
 def regression_slopes(plan: Plan, results: ControlResults) -> dict[str, Slope]:
-    """Return lines over the list size, the rate of change and the entries lost, if there are enough sizes."""
+    """Return lines over list sizes, rates of change and lost entries, where there are enough sizes."""
     unchanging = [row for row in results.rates if not row["changes_per_s"]]
     lines = {
         "whole list: cpu_ms over servers": _Line(results.complete_lists, "list", "cpu_ms"),
--- a/benchmarks/data_path/__init__.py
+++ b/benchmarks/data_path/__init__.py
@@ -1,1 +1,1 @@
-"""The cost of a request through a real proxy, beside a direct request: `python -m benchmarks.data_path`."""
+"""The cost of requests through a real proxy, compared with direct ones: `python -m benchmarks.data_path`."""
--- a/benchmarks/data_path/__main__.py
+++ b/benchmarks/data_path/__main__.py
@@ -1,8 +1,8 @@
 """Measure the cost of a request through a real proxy: `python -m benchmarks.data_path`.
 
-Proxies with lists of several sizes run side by side and get requests in turn: each slice of requests through
-a proxy is next to a slice of direct requests at the same rate. A direct request goes to one of a few backends
-on a connection that is kept alive.
+Proxies with lists of several sizes run at the same time and receive requests one after another: before each
+slice of requests through a proxy there is a slice of direct requests at the same rate. A direct request goes
+to one of a few backends over a keep-alive connection.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 async def measure(plan: Plan, out: Path) -> None:
-    """Run the plan, print its tables, write its result file."""
+    """Run the plan, print its tables and write its result file."""
     async with node_setup(
         plan.sizes, min_endpoints=DIRECT_BACKENDS, service_ms=plan.service_ms, seed=plan.seed
     ) as setup:
@@ -55,11 +55,11 @@
     help="Requests a second.",
 )
 @sizes_option("13,100,400,1000")
-@click.option("--seconds", default=5.0, show_default=True, help="For each slice of requests.")
-@click.option("--rounds", default=5, show_default=True, help="Of all slices.")
+@click.option("--seconds", default=5.0, show_default=True, help="Length of each slice of requests.")
+@click.option("--rounds", default=5, show_default=True, help="Rounds of all slices.")
 @service_ms_option
 @sockets_option
-@click.option("--no-limit", is_flag=True, help="Don't search the highest sustained rate.")
+@click.option("--no-limit", is_flag=True, help="Don't search for the highest sustained rate.")
 @seed_option
 @quick_option
 @out_option("datapath.json")
--- a/benchmarks/data_path/measurement.py
+++ b/benchmarks/data_path/measurement.py
@@ -1,7 +1,7 @@
-"""Measurement of requests through real proxies beside the same requests made directly.
+"""Measurement of requests through real proxies, compared with direct requests to the backends.
 
-Slices of requests, direct and through a proxy, run in turn, round by round, so that other load on the machine
-affects all alike.
+Slices of direct requests and of requests through a proxy alternate in each round, so that other load on the
+machine affects all of them equally.
 """
 
 from __future__ import annotations
@@ -21,19 +21,19 @@
 from benchmarks.support.processes import cpu_seconds, resident_mib, run_queue_seconds
 from loadbalancer.http.addresses import Address
 
-DIRECT_BACKENDS = 13  # that direct requests go to
+DIRECT_BACKENDS = 13  # number of backends that receive direct requests
 
 
 @dataclass(slots=True)
 class SliceMeasurements:
-    """The measurements of one kind of slice; lists have an item for each round unless they say otherwise."""
+    """The measurements of one kind of slice; lists have one item for each round unless noted otherwise."""
 
     proxied_us: list[list[float]] = field(default_factory=list)  # latencies through the proxy
     direct_us: list[list[float]] = field(default_factory=list)  # latencies of direct requests
-    cpu_us: list[float] = field(default_factory=list)  # processor time a request, less idle use
-    run_queue_us: list[float] = field(default_factory=list)  # a request's wait for a core
-    send_delays_us: list[float] = field(default_factory=list)  # an item for each request
-    opened: list[int] = field(default_factory=list)  # connections to backends
+    cpu_us: list[float] = field(default_factory=list)  # processor time per request, less idle use
+    run_queue_us: list[float] = field(default_factory=list)  # wait for a core, per request
+    send_delays_us: list[float] = field(default_factory=list)  # one item for each request
+    opened: list[int] = field(default_factory=list)  # opened connections to backends
     succeeded: int = 0
     load_average: list[float] = field(default_factory=list)
 
@@ -44,17 +44,20 @@
 
 
 class DataPathBenchmark:
-    """Runs the slices of a plan on nodes that are up."""
+    """Runs the slices of a plan on running nodes."""
 
     def __init__(self, plan: Plan, setup: NodeSetup, direct_addresses: list[Address]) -> None:
         self.plan = plan
         self.setup = setup
         self.idle_cores: dict[int, float] = {}  # by list size: cores in use without requests
-        self.idle_mib: dict[int, float] = {}
+        self.idle_mib: dict[int, float] = {}  # by list size: resident memory without requests
         self._direct_addresses = direct_addresses
 
     async def warm_up(self) -> None:
-        """Open connections and learn latencies; then measure a node's use of resources without requests."""
+        """Send uncounted requests, so that connections are open and the proxies have latency samples.
+
+        Then measure each node's resource usage without requests.
+        """
         proxies, client = self.setup.proxies, self.setup.client
         rate = min(self.plan.rates)
         await client.run(self._direct_addresses, rate, WARM_UP_S)
@@ -69,7 +72,7 @@
             self.idle_mib[size] = resident_mib(proxy.pid)
 
     async def run_proxied(self, size: int, rate: float, seconds: float) -> ProxiedSlice:
-        """Run a slice of requests through the proxy that has a list of this size."""
+        """Run a slice of requests through the proxy with a list of this size."""
         proxy, loop = self.setup.proxies[size], asyncio.get_running_loop()
         accepted = await self.setup.backends.accepted_connections()
         started, cpu_s, run_queue_s = loop.time(), cpu_seconds(proxy.pid), run_queue_seconds(proxy.pid)
@@ -81,7 +84,7 @@
         return ProxiedSlice(result, cpu_s * per_request_us, run_queue_s * per_request_us, opened)
 
     async def run_rounds(self) -> dict[SliceKind, SliceMeasurements]:
-        """Run all kinds of slices, direct and proxied in turn, in an order drawn for each round."""
+        """Run rounds of all kinds of slices, each after a direct slice, in a random order in each round."""
         measurements: dict[SliceKind, SliceMeasurements] = defaultdict(SliceMeasurements)
         rng = Random(self.plan.seed)
         kinds = self.plan.slice_kinds()
@@ -103,6 +106,6 @@
         measured.load_average.append(os.getloadavg()[0])
 
     async def find_rate_limit(self, size: int) -> RateLimit:
-        """Search the highest rate that the proxy with a list of this size sustains."""
+        """Search for the highest rate that the proxy with a list of this size sustains."""
         run_slice = partial(self.run_proxied, size, seconds=self.plan.limit_s)
         return await find_rate_limit(self.plan, size, self.idle_cores[size], run_slice)
--- a/benchmarks/data_path/rate_limit.py
+++ b/benchmarks/data_path/rate_limit.py
@@ -13,31 +13,31 @@
 from benchmarks.support.open_loop import MICROSECONDS_PER_S, LoadResult, histogram
 from benchmarks.support.records import Record
 
-SUSTAINED_LATENCY_US = 100_000.0  # a sustained rate gets enough responses with status 200 within this time
-SUSTAINED_FRACTION = 0.99  # of the requests
-RATE_GROWTH = 1.15  # from one rate to the next
+SUSTAINED_LATENCY_US = 100_000.0  # maximum latency of a fast response
+SUSTAINED_FRACTION = 0.99  # minimum fractions of fast responses and of responses with status 200
+RATE_GROWTH = 1.15  # factor from one rate to the next
 MAX_FAILED_RATES = 2  # consecutive rates that are not sustained, after which the search ends
 
 
 @dataclass(frozen=True, slots=True)
 class ProxiedSlice:
-    """A slice of requests through a proxy, and its cost to the proxy."""
+    """A slice of requests through a proxy, and its cost for the proxy."""
 
     result: LoadResult
-    cpu_us: float  # processor time a request, less idle use
-    run_queue_us: float  # time a request in which the proxy was runnable without a core
-    opened: int  # connections to backends
+    cpu_us: float  # processor time per request, less idle use
+    run_queue_us: float  # time per request in which the proxy is runnable but waits for a core
+    opened: int  # opened connections to backends
 
 
 class RateTrial(Record, frozen=True, kw_only=True):
-    """One rate in the search for a node's limit."""
+    """One rate in the search for a node's highest sustained rate."""
 
     rate: float = msgspec.field(name="kept_per_s")  # requests a second
     p50_us: float
     p99_us: float
-    cpu_us: float  # processor time a request
+    cpu_us: float  # processor time per request, less idle use
     run_queue_us: float = msgspec.field(name="waited_us")
-    cores: float = msgspec.field(name="core")  # in use, idle use included
+    cores: float = msgspec.field(name="core")  # cores in use, including idle use
     opened_per_request: float = msgspec.field(name="opened_per_call")
     success_fraction: float = msgspec.field(name="ok_share")
     fast_fraction: float = msgspec.field(name="quick_share")  # responses within `SUSTAINED_LATENCY_US`
@@ -46,37 +46,37 @@
 
     @property
     def sustained(self) -> bool:
-        """Whether enough requests succeeded, and enough responses were fast."""
+        """Whether enough requests succeed and enough responses are fast."""
         return min(self.fast_fraction, self.success_fraction) >= SUSTAINED_FRACTION
 
 
 @dataclass(frozen=True, slots=True)
 class RateLimit:
-    """The highest of rising rates that a node sustains."""
+    """The highest rate that a node sustains, and the trials of the search."""
 
     list_size: int
-    sustained_rate: float  # 0 if it sustained none
-    measured: RateTrial  # at that rate, or at the first one if it sustained none
+    sustained_rate: float  # 0 if no rate is sustained
+    measured: RateTrial  # the trial at that rate, or the first trial if no rate is sustained
     trials: list[RateTrial]
 
     def row(self) -> dict[str, object]:
-        """Return the limit under the names of the result file, without the trials."""
+        """Return the limit's figures by their names in the result file, without the trials."""
         return {"list": self.list_size} | self.measured.row() | {"kept_per_s": self.sustained_rate}
 
     def row_with_trials(self) -> dict[str, object]:
-        """Return the limit and its trials under the names of the result file."""
+        """Return the figures of the limit and its trials by their names in the result file."""
         return self.row() | {"steps": [trial.row() for trial in self.trials]}
 
 
 async def find_rate_limit(
     plan: Plan, list_size: int, idle_cores: float, run_slice: Callable[[float], Awaitable[ProxiedSlice]]
 ) -> RateLimit:
-    """Raise the rate until `MAX_FAILED_RATES` in succession are not sustained, or to the plan's highest.
+    """Raise the rate until `MAX_FAILED_RATES` consecutive rates are not sustained, or to the plan's maximum.
 
     Args:
-        plan: Where the search begins and ends.
+        plan: The minimum and maximum rates of the search.
         list_size: The size of the node's list.
-        idle_cores: The cores that the node uses without requests.
+        idle_cores: The cores in use by the node without requests.
         run_slice: Runs a slice of requests at a rate.
     """
     rate, failed_rates, sustained_rate = plan.limit_min_rate, 0, 0.0
@@ -93,7 +93,7 @@
 
 
 def rate_trial(rate: float, proxied: ProxiedSlice, idle_cores: float) -> RateTrial:
-    """Return the figures of one slice of the search."""
+    """Return the figures of one trial from its slice of requests."""
     latencies_us = proxied.result.latencies_us
     requests = len(latencies_us)
     recorded = histogram(latencies_us)
--- a/benchmarks/data_path/records.py
+++ b/benchmarks/data_path/records.py
@@ -1,4 +1,4 @@
-"""The records of the data path benchmark: latencies, costs, and each round's own figures."""
+"""Records of the data path benchmark: latencies, costs, and the figures of each round."""
 
 from __future__ import annotations
 
@@ -22,8 +22,9 @@
 class LatencyRecord:
     """Latencies in microseconds by percentile: direct, through the proxy, and their difference.
 
-    `added_us` is of all requests together, `round_added_us` the median of the rounds' own differences:
-    seconds in which the machine stalls remain in the first and count as one round in the second.
+    `added_us` is the difference over all requests, `round_added_us` the median of the differences of the
+    rounds. A stall of the machine for some seconds is included in `added_us`; in `round_added_us` it affects
+    one round only.
     """
 
     kind: SliceKind
@@ -35,11 +36,11 @@
 
     @property
     def added_us(self) -> dict[float, float]:
-        """The difference of the two latencies at each percentile."""
+        """The proxied latency less the direct one at each percentile."""
         return {percent: self.proxied_us[percent] - self.direct_us[percent] for percent in self.direct_us}
 
     def row(self) -> dict[str, object]:
-        """Return the record under the names of the result file."""
+        """Return the figures by their names in the result file."""
         row: dict[str, object] = {
             "list": self.kind.list_size,
             "rate_per_s": self.kind.rate,
@@ -83,7 +84,7 @@
 
 
 class CostRecord(Record, frozen=True, kw_only=True):
-    """A node's use of resources; `cpu_us` is processor time a request, with the rounds' standard error."""
+    """A node's resource usage; `cpu_us` is processor time per request, `cpu_error_us` its standard error."""
 
     list_size: int = msgspec.field(name="list")
     rate: float = msgspec.field(name="rate_per_s")
--- a/benchmarks/data_path/report.py
+++ b/benchmarks/data_path/report.py
@@ -16,7 +16,7 @@
 def slopes_over_sizes(
     measurements: Mapping[SliceKind, SliceMeasurements], benchmark: DataPathBenchmark
 ) -> dict[str, Slope]:
-    """Return lines over the list size, if there are enough sizes; each round is a point of its own."""
+    """Return regression lines over the list size, if there are enough sizes; each round is one point."""
     compared = {
         kind.list_size: measured
         for kind, measured in measurements.items()
@@ -34,7 +34,7 @@
 
 
 def cost_ratios(costs: Sequence[CostRecord], benchmark: DataPathBenchmark) -> dict[str, float]:
-    """Return the ratio of the largest list's processor time a request to that of the smallest list."""
+    """Return the ratio of processor time per request with the largest list to that with the smallest list."""
     smallest, largest = min(benchmark.plan.sizes), max(benchmark.plan.sizes)
     if smallest == largest:
         return {}
--- a/benchmarks/list_server.py
+++ b/benchmarks/list_server.py
@@ -1,7 +1,8 @@
-"""Serve a list that changes on command: `python -m benchmarks.list_server --servers 1000`.
+"""Serve an endpoint list that changes on command: `python -m benchmarks.list_server --servers 1000`.
 
-The first line of output is a `ListServerAddress`. Standard input takes one command a line (`change N`,
-`lose N`, `drop`, `figures`); a line of output with the `ListServerStatistics` confirms each.
+The first line of output is a `ListServerAddress`. Standard input takes one command a line: `change N` changes
+and `lose N` removes N random entries, `drop` aborts all connections, `figures` only requests statistics. A
+line of output with the `ListServerStatistics` confirms each command.
 """
 
 from __future__ import annotations
@@ -48,7 +49,7 @@
 @click.option("--port", default=0, show_default=True)
 @click.option("--seed", default=7, show_default=True)
 def main(servers: int, host: str, port: int, seed: int) -> None:
-    """Serve a list until the input ends; input lines: change N, lose N, drop, figures."""
+    """Serve a list until standard input ends; commands, one a line: change N, lose N, drop, figures."""
     with contextlib.suppress(KeyboardInterrupt):
         asyncio.run(_serve(servers, host, port, seed))
 
