--- a/tests/benchmarks/test_commands.py
+++ b/tests/benchmarks/test_commands.py
@@ -1,4 +1,4 @@
-"""Commands: each documented one exists, short runs of some, and the options of the hollow nodes' command."""
+"""Benchmark commands: documentation, short runs, and the plan that the hollow nodes' options result in."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
 
 
 class StubRecord:
-    """A record of the hollow nodes' command with the number of watches alone."""
+    """A record of the hollow nodes' command that has only the number of watches."""
 
     def __init__(self, watches):
         self.watches = watches
@@ -78,7 +78,7 @@
         return {"watches": self.watches}
 
 
-def test_hollow_command_makes_its_plan_from_the_options(tmp_path, monkeypatch):
+def test_hollow_command_creates_its_plan_from_the_options(tmp_path, monkeypatch):
     plans = []
 
     async def measure(plan, watches, folder):
--- a/tests/benchmarks/test_data_path.py
+++ b/tests/benchmarks/test_data_path.py
@@ -1,4 +1,4 @@
-"""The arithmetic of the data path benchmark: added latency and the search for a node's limit."""
+"""Arithmetic of the data path benchmark: added latency, and the search for the highest sustained rate."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def test_added_latency_is_the_proxied_less_the_direct_one_at_each_percentile():
-    stalled = [9000.0] * 100  # in one round of three
+    stalled = [9000.0] * 100  # the latencies of one round of three
     measured = SliceMeasurements(
         proxied_us=[[1000.0] * 99 + [9000.0], [1000.0] * 99 + [9000.0], stalled],
         direct_us=[[400.0] * 99 + [500.0]] * 3,
@@ -37,7 +37,7 @@
 
 
 def modelled_node(highest_sustained, dip):
-    """A node that sustains every rate up to one, except those just above a dip."""
+    """Slices on a model of a node that sustains rates up to a limit, except those just above `dip`."""
 
     async def run_slice(rate):
         in_dip = dip is not None and dip < rate < dip * RATE_GROWTH
@@ -52,12 +52,12 @@
 @pytest.mark.parametrize(
     ("highest_sustained", "dip"),
     [
-        pytest.param(500.0, None, id="plain"),
+        pytest.param(500.0, None, id="no dip"),
         pytest.param(500.0, 300.0, id="one dip"),
         pytest.param(100.0, None, id="none sustained"),
     ],
 )
-async def test_rate_limit_is_the_highest_rate_sustained_before_two_are_not(highest_sustained, dip):
+async def test_rate_limit_is_the_highest_rate_sustained_before_two_failures_in_a_row(highest_sustained, dip):
     plan = Plan(limit_min_rate=250.0)
     limit = await find_rate_limit(plan, 13, 0.003, modelled_node(highest_sustained, dip))
     rates = [trial.rate for trial in limit.trials]
--- a/tests/benchmarks/test_hollow_nodes.py
+++ b/tests/benchmarks/test_hollow_nodes.py
@@ -1,4 +1,4 @@
-"""Hollow nodes count each change as often as it reaches their watches. The tests judge no times."""
+"""Hollow nodes count every delivery of a change to their watches. No test limits a duration."""
 
 from __future__ import annotations
 
@@ -16,26 +16,26 @@
 from loadbalancer.discovery import watch_client
 from tests.support.loopback import until
 
-WATCHES = [0, 0, 0, 0, 0, 1, 1, 1]  # the list's number for each node
+WATCHES = [0, 0, 0, 0, 0, 1, 1, 1]  # the list number of each node
 
 
 @dataclass
 class WatchedLists:
-    """Eight hollow nodes of this process on two lists of a plain server."""
+    """Two lists of a plain server, and eight hollow nodes in this process that watch them."""
 
     services: ServiceLists
     servers: list[ListServer]
     nodes: HollowNodes
 
     def write(self, changes, lost_zone=""):
-        """Write a change that the nodes expect; return its serial number."""
+        """Announce a change to the nodes and write it; return its serial number."""
         self.nodes.expect(ExpectChange(self.services.serial, list(changes), lost_zone))
         for number, entries in changes.items():
             self.servers[number].change(entries)
         return self.services.serial
 
     async def changed_responses(self, count):
-        """Wait until this many responses with entries have been counted."""
+        """Wait until the nodes have counted this many responses with entries."""
         await until(lambda: self.nodes.counters.changed_responses >= count)
 
 
@@ -86,7 +86,7 @@
     assert lists.nodes.snapshot_counters(clear=False).changes == {}
 
 
-async def test_repeated_change_and_revision_that_goes_back_are_counted(start_lists):
+async def test_repeated_change_and_revision_regression_are_counted(start_lists):
     lists = await start_lists()
     changes = lists.services.restart_one([0])
     serial = lists.write(changes)
@@ -101,12 +101,12 @@
 
 
 def with_serial(lists, changes):
-    """The change as it is written."""
+    """The change with its serial number, as it is written."""
     return changes
 
 
 def without_serial(lists, changes):
-    """The change as a discovery server writes it that has compared complete lists."""
+    """The change without its serial number, as a discovery server sends it that compares complete lists."""
     return {number: [entry | {"boot_ms": 0} for entry in entries] for number, entries in changes.items()}
 
 
@@ -126,7 +126,7 @@
         pytest.param(compacted, 8, id="complete list"),
     ],
 )
-async def test_loss_of_a_zone_is_counted_in_every_form(start_lists, prepare, complete_lists):
+async def test_loss_of_a_zone_is_counted_as_delta_and_as_complete_list(start_lists, prepare, complete_lists):
     lists = await start_lists()
     serial = lists.write(prepare(lists, lists.services.lose_zone("z03")), "z03")
     await lists.changed_responses(8)
@@ -135,7 +135,7 @@
     assert counts(counters.changes[serial]) == (8, 8, 0)
 
 
-async def test_received_bytes_are_those_of_the_responses_and_policies_follow_the_list(start_lists):
+async def test_received_bytes_are_those_of_the_responses_and_policies_have_the_current_list(start_lists):
     lists = await start_lists(with_policy=True)
     before = sum(server.bytes_out for server in lists.servers)
     lists.write(lists.services.lose_zone("z03"), "z03")
--- a/tests/benchmarks/test_hollow_run.py
+++ b/tests/benchmarks/test_hollow_run.py
@@ -1,4 +1,4 @@
-"""Runs of hollow nodes are complete: every change is delivered once, or counted as missed."""
+"""Runs of hollow nodes deliver each change once or count it as missed, also one late at a phase's end."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
         assert record[f"{phase}_last_ms"] >= record[f"{phase}_p99_ms"] >= record[f"{phase}_p50_ms"] > 0.0
     assert (record["rate_changes"], record["calm_failed"], record["burst_failed"]) == (4, 0, 0)
     assert record["restart_failed"] >= 8
-    if server is ServerKind.PLAIN:  # which loses its change log
+    if server is ServerKind.PLAIN:  # has no change log after a restart
         assert record["restart_whole"] == 8
     for role in roles:
         assert record[f"{role}_rss_mib"] > 1.0
@@ -42,7 +42,7 @@
 
 
 class LateNodes(NodeProcesses):
-    """Hollow nodes whose one watch has each change only at the third reading of the counters, or never."""
+    """One watch that has each change only from the third reading of the counters on, or never."""
 
     def __init__(self, changes_arrive):
         super().__init__()
--- a/tests/benchmarks/test_list_server.py
+++ b/tests/benchmarks/test_list_server.py
@@ -1,4 +1,4 @@
-"""The stand-in for the discovery server, watched by the real watch client, and its membership."""
+"""The benchmarks' list server, watched by the proxy's watch client, and its membership."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass
 class WatchedCopy:
-    """A watch's copy of an endpoint list by name, and the kinds of its updates."""
+    """The endpoints that a watch has received, by name, and the kinds of its updates."""
 
     endpoints: dict[str, Endpoint] = field(default_factory=dict)
     kinds: list[UpdateKind] = field(default_factory=list)
@@ -52,7 +52,7 @@
     watcher.close()
 
 
-async def test_real_watch_follows_the_list_server(server, copy):
+async def test_watch_client_has_the_current_list_after_changes_losses_and_a_reconnection(server, copy):
     polled: list[int | None] = []
     server.on_poll = polled.append
     churn = Churn(server.membership, 3)
@@ -91,6 +91,6 @@
     assert {entry["uid"]: entry for entry in recent["targets"]} == {
         uid: membership.entries[uid] for uid in changed
     }
-    assert orjson.loads(membership.watch_response(12))["all"]  # a revision that was never issued
+    assert orjson.loads(membership.watch_response(12))["all"]  # a revision that the server has not issued
     assert membership.watch_response(8) is membership.watch_response(8)
     assert membership.watch_response(6) is membership.watch_response(None)
--- a/tests/benchmarks/test_open_loop.py
+++ b/tests/benchmarks/test_open_loop.py
@@ -1,4 +1,4 @@
-"""The open-loop client leaves out no latency: what a stalled server delays counts from its due time."""
+"""The open-loop client avoids coordinated omission: latency counts from the scheduled send time."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
     yield create
     for client in clients:
         client.close()
-    await asyncio.sleep(0)  # so that the transports close
+    await asyncio.sleep(0)  # lets the transports close
 
 
 @pytest.mark.parametrize(
     "connections",
     [pytest.param(64, id="a connection for each request"), pytest.param(4, id="too few connections")],
 )
-async def test_stall_shows_in_every_request_that_was_due_meanwhile(stalled_backend, open_client, connections):
+async def test_stall_counts_in_latency_of_requests_scheduled_in_it(stalled_backend, open_client, connections):
     rate, count = 400.0, 40
     client = open_client(max_connections=connections, drain_timeout_s=60.0)
     address = Address("127.0.0.1", stalled_backend.port)
@@ -47,13 +47,13 @@
     stalled_backend.release.set()
     result = await run
     assert result.statuses == {200: count}
-    # The release came after the last request was due, so the first has waited for all the others.
+    # The server responds after the last scheduled send time, so each request waits at least until then.
     for index, latency_us in enumerate(sorted(result.latencies_us, reverse=True)):
         assert latency_us >= (count - 1 - index) / rate * 1e6
     assert histogram(result.latencies_us).get_max_value() >= (count - 1) / rate * 1e6
 
 
-async def test_request_without_a_response_counts_with_the_time_that_it_had(stalled_backend, open_client):
+async def test_request_without_a_response_counts_until_the_run_ends(stalled_backend, open_client):
     client = open_client(drain_timeout_s=0.05)
     result = await client.run([Address("127.0.0.1", stalled_backend.port)], 100.0, 0.05)
     assert result.statuses == {NO_RESPONSE: 5}
--- a/tests/benchmarks/test_processes.py
+++ b/tests/benchmarks/test_processes.py
@@ -1,4 +1,4 @@
-"""Child processes of the benchmarks: their resource usage, and the errors when they end too early."""
+"""Child processes of the benchmarks: resource usage, and the error if one ends before it replies."""
 
 from __future__ import annotations
 
--- a/tests/benchmarks/test_records.py
+++ b/tests/benchmarks/test_records.py
@@ -1,4 +1,4 @@
-"""Records keep the names and the order of the columns that the committed result files have."""
+"""Records have the column names and the column order of the committed result files."""
 
 from __future__ import annotations
 
--- a/tests/benchmarks/test_report.py
+++ b/tests/benchmarks/test_report.py
@@ -1,4 +1,4 @@
-"""The benches' reports: fitted lines, tables and result files."""
+"""Reports of the benchmarks: regression lines, tables and result files."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from benchmarks.support.report import format_table, write_results
 
 
-def test_fitted_line_has_its_standard_error():
+def test_regression_line_has_its_standard_error():
     exact = linear_regression([1, 2, 3, 4], [5.0, 7.0, 9.0, 11.0])
     assert exact.base == pytest.approx(3.0)
     assert exact.per_unit == pytest.approx(2.0)
@@ -22,8 +22,8 @@
     assert rough.error == pytest.approx(0.2121, abs=1e-4)  # sqrt(0.45 / 2 / 5)
 
 
-def test_line_through_three_sizes_is_an_error():
-    with pytest.raises(InsufficientSizesError, match="4 sizes") as error:
+def test_regression_over_three_sizes_is_an_error():
+    with pytest.raises(InsufficientSizesError, match="at least 4 sizes") as error:
         linear_regression([1, 1, 2, 3], [1.0, 1.0, 1.0, 1.0])
     assert error.value.sizes == [1, 2, 3]
 
--- a/tests/benchmarks/test_service_lists.py
+++ b/tests/benchmarks/test_service_lists.py
@@ -1,4 +1,4 @@
-"""The model of the fleet's endpoint lists: sizes, losses, layouts and ports."""
+"""The model of the fleet's endpoint lists: sizes, losses and layouts; and the choice of free ports."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from benchmarks.support.free_ports import first_outgoing_port, free_ports
 
 
-def test_layouts_have_their_numbers_of_lists_and_servers():
+def test_each_layout_has_its_number_of_lists_and_servers():
     plan = Plan()
     one, fleet, together = (with_layout(plan, layout, 380) for layout in ListLayout)
     assert (one.lists, one.servers, one.largest) == (1, LARGEST_SERVICE, LARGEST_SERVICE)
@@ -31,7 +31,7 @@
     assert max(ports) < first_outgoing_port()
 
 
-def test_service_sizes_are_skewed_and_add_up_to_the_fleet():
+def test_service_sizes_are_skewed_and_add_up_to_the_servers_of_the_fleet():
     sizes = service_sizes()
     assert (len(sizes), sum(sizes), max(sizes), min(sizes) > 0) == (SERVICES, SERVERS, LARGEST_SERVICE, True)
     assert sizes == sorted(sizes, reverse=True)
