--- a/benchmarks/control/following_node.py
+++ b/benchmarks/control/following_node.py
@@ -18,7 +18,7 @@
 from benchmarks.support.processes import cpu_seconds, run_queue_seconds
 from benchmarks.support.proxy_process import ProxyProcess, proxy_configuration
 
-IN_FORCE_TIMEOUT_S = 30.0  # from the last change until all are in force; the run fails after it
+IN_FORCE_TIMEOUT_S = 30.0  # from the last change until all are in force; otherwise the run fails
 MILLISECONDS_PER_S = 1e3
 
 
--- a/benchmarks/control/measurement.py
+++ b/benchmarks/control/measurement.py
@@ -34,7 +34,7 @@
 
 
 class ChangeCostRecord(Record, frozen=True, kw_only=True):
-    """The cost of one change of many entries, averaged over several repetitions."""
+    """The cost of one change of many entries: statistics over several repetitions."""
 
     cpu_ms: float
     cpu_error_ms: float
@@ -103,7 +103,7 @@
         node: The node that receives the changes.
         next_entries: Returns the changed entries of the next repetition.
         repeats: The number of repetitions.
-        restore: Whether the entries are made ready again after each repetition.
+        restore: Whether a second change sets the entries to ready after each repetition, unmeasured.
         compact: Whether the node receives each change as a complete list.
     """
     cost = ChangeCost()
--- a/benchmarks/control/plan.py
+++ b/benchmarks/control/plan.py
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeRate:
-    """A list size and a rate of change, in changes a second, that are measured together."""
+    """A measured combination of list size and rate of change, in changes a second."""
 
     list_size: int
     per_s: float
--- a/benchmarks/data_path/plan.py
+++ b/benchmarks/data_path/plan.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SliceKind:
-    """A list size and a rate, in requests a second, that are measured together."""
+    """A measured combination of list size and rate, in requests a second."""
 
     list_size: int
     rate: float
--- a/benchmarks/hollow/records.py
+++ b/benchmarks/hollow/records.py
@@ -97,7 +97,7 @@
 
 
 class EventTraffic(Record, frozen=True, kw_only=True):
-    """The processor time of the hollow nodes and the responses to their watches; means over all events."""
+    """The processor time of the hollow nodes and the responses to their watches; means for one event."""
 
     hollow_cpu_ms: float
     seconds: float
--- a/benchmarks/support/free_ports.py
+++ b/benchmarks/support/free_ports.py
@@ -13,7 +13,7 @@
 
 
 class InsufficientPortsError(OSError):
-    """Fewer loopback ports are free than were requested."""
+    """Fewer loopback ports are free than requested."""
 
     def __init__(self, requested: int, free: int) -> None:
         super().__init__(f"requested {requested} loopback ports below the outgoing range, found {free} free")
--- a/benchmarks/support/membership.py
+++ b/benchmarks/support/membership.py
@@ -105,7 +105,7 @@
         self._oldest_known_revision = self.revision
 
     def watch_response(self, since: int | None) -> bytes:
-        """Return the body of the response to a watch: a delta, or the complete list if the log is too short.
+        """Return the body of the response to a watch: a delta, or the complete list if there is none.
 
         Args:
             since: The watch's revision; None: the watch requests the complete list.
--- a/tests/benchmarks/test_commands.py
+++ b/tests/benchmarks/test_commands.py
@@ -1,4 +1,4 @@
-"""Benchmark commands: documentation, short runs, and the plan that the hollow nodes' options result in."""
+"""Benchmark commands: documentation, short runs, and the plan created from the hollow nodes' options."""
 
 from __future__ import annotations
 
--- a/tests/benchmarks/test_hollow_run.py
+++ b/tests/benchmarks/test_hollow_run.py
@@ -1,4 +1,4 @@
-"""Runs of hollow nodes deliver each change once or count it as missed, also one late at a phase's end."""
+"""Runs of hollow nodes deliver each change once or count it as missed, even if a slow disk delays it."""
 
 from __future__ import annotations
 
