--- a/benchmarks/hollow/records.py
+++ b/benchmarks/hollow/records.py
@@ -1,4 +1,4 @@
-"""The figures of a run of hollow nodes: steady phases, events, and the record of one number of watches."""
+"""Figures of a run of hollow nodes: steady phases, events, and the record of one number of watches."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 @dataclass(frozen=True, slots=True)
 class RoleCost:
-    """The processor time of one role in a steady phase."""
+    """The processor time of one server role in a steady phase."""
 
     ms_per_s: float
-    ms_per_change: float | None  # None: not computed for the calm phase, or without changes
+    ms_per_change: float | None  # None: the baseline phase, or a phase without changes
 
 
 class SteadyTraffic(Record, frozen=True, kw_only=True):
-    """The cost of the hollow nodes in a steady phase, and the responses to their watches."""
+    """The processor time of the hollow nodes in a steady phase, and the responses to their watches."""
 
     hollow_cpu_ms_per_s: float
     bytes_out_per_s: float
     bytes_in_per_s: float
-    bytes_per_change: float | None = msgspec.field(name="bytes_per_told")  # None: no response had entries
+    bytes_per_change: float | None = msgspec.field(name="bytes_per_told")  # None: no response with entries
     responses: int = msgspec.field(name="answers")
     failed: int
     complete_lists: int = msgspec.field(name="whole")
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SteadyFigures:
-    """The figures of a phase of steady changes."""
+    """The figures of a phase with a steady rate of changes."""
 
     changes: int
     costs: dict[str, RoleCost]  # by role
@@ -43,7 +43,7 @@
     deliveries: DeliveryFigures
 
     def row(self) -> dict[str, object]:
-        """Return the figures under their names in the result file."""
+        """Return the figures by their names in the result file."""
         row: dict[str, object] = {"changes": self.changes}
         for role, cost in self.costs.items():
             row[f"{role}_cpu_ms_per_s"] = cost.ms_per_s
@@ -52,30 +52,32 @@
         return row | self.traffic.row() | self.deliveries.row()
 
 
-def steady_figures(phase: Phase, calm: Phase) -> SteadyFigures:
-    """Return the figures of a phase of steady changes.
+def steady_figures(phase: Phase, baseline: Phase) -> SteadyFigures:
+    """Return the figures of a phase with a steady rate of changes.
+
+    The processor time per change excludes responses without a change, at their mean cost in the baseline.
 
     Args:
         phase: The phase.
-        calm: The phase with the fewest changes, which shows the cost of a response without a change.
+        baseline: The phase with the fewest changes, which gives the cost of a response without a change.
     """
     return SteadyFigures(
         changes=phase.changes,
-        costs={role: _role_cost(role, phase, calm) for role in phase.cpu_s},
+        costs={role: _role_cost(role, phase, baseline) for role in phase.cpu_s},
         traffic=_steady_traffic(phase),
         deliveries=phase.deliveries.figures(),
     )
 
 
-def _role_cost(role: str, phase: Phase, calm: Phase) -> RoleCost:
+def _role_cost(role: str, phase: Phase, baseline: Phase) -> RoleCost:
     cpu_s = phase.cpu_s[role]
     ms_per_s = cpu_s * MILLISECONDS_PER_S / phase.seconds
-    if phase is calm or not phase.changes:
+    if phase is baseline or not phase.changes:
         return RoleCost(ms_per_s, None)
     responses = phase.total(lambda counters: counters.responses)
     changed_responses = phase.total(lambda counters: counters.changed_responses)
-    calm_responses = calm.total(lambda counters: counters.responses)
-    unchanged_s = calm.cpu_s[role] / max(1, calm_responses) * (responses - changed_responses)
+    baseline_responses = baseline.total(lambda counters: counters.responses)
+    unchanged_s = baseline.cpu_s[role] / max(1, baseline_responses) * (responses - changed_responses)
     return RoleCost(ms_per_s, (cpu_s - unchanged_s) * MILLISECONDS_PER_S / phase.changes)
 
 
@@ -95,7 +97,7 @@
 
 
 class EventTraffic(Record, frozen=True, kw_only=True):
-    """The cost of the hollow nodes for one event, and the responses to their watches; means over events."""
+    """The processor time of the hollow nodes and the responses to their watches; means for one event."""
 
     hollow_cpu_ms: float
     seconds: float
@@ -111,25 +113,26 @@
 class EventFigures:
     """The figures of several bursts or restarts.
 
-    Costs are means of the cost of one event beyond the calm phase; times are of all events together.
+    Processor times are means for one event, less the baseline phase's use over the same time. Delivery times
+    are quantiles over all events.
     """
 
-    cpu_ms: dict[str, float]  # processor time of one event by role
+    cpu_ms: dict[str, float]  # processor time of one event, by role
     traffic: EventTraffic
     deliveries: DeliveryFigures
 
     def row(self) -> dict[str, object]:
-        """Return the figures under their names in the result file."""
+        """Return the figures by their names in the result file."""
         costs: dict[str, object] = {f"{role}_cpu_ms": cpu_ms for role, cpu_ms in self.cpu_ms.items()}
         return costs | self.traffic.row() | self.deliveries.row()
 
 
-def event_figures(phases: Sequence[Phase], calm: Phase) -> EventFigures | None:
+def event_figures(phases: Sequence[Phase], baseline: Phase) -> EventFigures | None:
     """Return the figures of several bursts or restarts; None if there are none.
 
     Args:
-        phases: One for each event.
-        calm: The phase with the fewest changes.
+        phases: A phase for each event.
+        baseline: The phase with the fewest changes, whose processor time is subtracted.
     """
     if not phases:
         return None
@@ -137,32 +140,32 @@
     for phase in phases:
         deliveries.merge(phase.deliveries)
     events = len(phases)
-    calm_phases = sum(phase.seconds for phase in phases) / calm.seconds
+    baseline_periods = sum(phase.seconds for phase in phases) / baseline.seconds
     cpu_ms = {}
     for role in phases[0].cpu_s:
-        extra_s = sum(phase.cpu_s[role] for phase in phases) - calm.cpu_s[role] * calm_phases
+        extra_s = sum(phase.cpu_s[role] for phase in phases) - baseline.cpu_s[role] * baseline_periods
         cpu_ms[role] = extra_s * MILLISECONDS_PER_S / events
-    return EventFigures(cpu_ms, _event_traffic(phases, calm, calm_phases), deliveries.figures())
+    return EventFigures(cpu_ms, _event_traffic(phases, baseline, baseline_periods), deliveries.figures())
 
 
-def _event_traffic(phases: Sequence[Phase], calm: Phase, calm_phases: float) -> EventTraffic:
+def _event_traffic(phases: Sequence[Phase], baseline: Phase, baseline_periods: float) -> EventTraffic:
     events = len(phases)
-    extra_s = sum(phase.hollow_cpu_s for phase in phases) - calm.hollow_cpu_s * calm_phases
-    counters = [counters for phase in phases for counters in phase.counters]
+    extra_s = sum(phase.hollow_cpu_s for phase in phases) - baseline.hollow_cpu_s * baseline_periods
+    counters = [part for phase in phases for part in phase.counters]
     return EventTraffic(
         hollow_cpu_ms=extra_s * MILLISECONDS_PER_S / events,
         seconds=sum(phase.seconds for phase in phases) / events,
-        received_bytes=sum(one.received_bytes for one in counters) / events,
-        changed_response_bytes=sum(one.changed_response_bytes for one in counters) / events,
-        changed_responses=sum(one.changed_responses for one in counters) / events,
-        failed=sum(one.failed for one in counters) / events,
-        complete_lists=sum(one.complete_lists for one in counters) / events,
-        revision_regressions=sum(one.revision_regressions for one in counters) / events,
+        received_bytes=sum(part.received_bytes for part in counters) / events,
+        changed_response_bytes=sum(part.changed_response_bytes for part in counters) / events,
+        changed_responses=sum(part.changed_responses for part in counters) / events,
+        failed=sum(part.failed for part in counters) / events,
+        complete_lists=sum(part.complete_lists for part in counters) / events,
+        revision_regressions=sum(part.revision_regressions for part in counters) / events,
     )
 
 
 class WatchCounts(Record, frozen=True, kw_only=True):
-    """The size of a run, and the machine's load before it."""
+    """The sizes of a run, and the machine's load average before it."""
 
     watches: int
     lists: int
@@ -173,15 +176,15 @@
 
 @dataclass(frozen=True, slots=True)
 class EventsRecord:
-    """The bursts and restarts of a run; None: the plan has none."""
+    """The figures of a run's bursts and restarts; None: the plan has none."""
 
     burst: EventFigures | None
     recovery: EventFigures | None
     restart: EventFigures | None
-    restart_serving_ms: float | None  # from a server's start until it served, the longest
+    restart_serving_ms: float | None  # from a server's start until it serves, the maximum over all restarts
 
     def row(self) -> dict[str, object]:
-        """Return the figures under their names in the result file."""
+        """Return the figures by their names in the result file."""
         row: dict[str, object] = {}
         events = {"burst_": self.burst, "return_": self.recovery, "restart_": self.restart}
         for prefix, figures in events.items():
@@ -197,9 +200,9 @@
     """The figures of one number of watches; memory is in MiB, by role."""
 
     counts: WatchCounts
-    memory_before_mib: dict[str, float]  # before the watches
-    memory_mib: dict[str, float]  # with the watches
-    calm: SteadyFigures
+    memory_before_mib: dict[str, float]  # before the watches start
+    memory_mib: dict[str, float]  # after all watches have started
+    baseline: SteadyFigures
     rate: SteadyFigures
     events: EventsRecord
     end_memory_mib: dict[str, float]
@@ -207,14 +210,14 @@
     load_after: float
 
     def row(self) -> dict[str, object]:
-        """Return the record under the names of the result file."""
+        """Return the figures by their names in the result file."""
         memory_row = {f"{role}_rss_mib": mib for role, mib in self.memory_mib.items()}
         end_memory_row = {f"end_{role}_rss_mib": mib for role, mib in self.end_memory_mib.items()}
         return {
             **self.counts.row(),
             **{f"{role}_rss_before_mib": mib for role, mib in self.memory_before_mib.items()},
             **memory_row,
-            **prefix_keys("calm_", self.calm.row()),
+            **prefix_keys("calm_", self.baseline.row()),
             **prefix_keys("rate_", self.rate.row()),
             **self.events.row(),
             **end_memory_row,
--- a/tests/benchmarks/test_hollow_run.py
+++ b/tests/benchmarks/test_hollow_run.py
@@ -1,4 +1,4 @@
-"""Runs of hollow nodes are complete: every change is delivered once, or counted as missed."""
+"""Runs of hollow nodes deliver each change once or count it as missed, even if a slow disk delays it."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
         assert record[f"{phase}_last_ms"] >= record[f"{phase}_p99_ms"] >= record[f"{phase}_p50_ms"] > 0.0
     assert (record["rate_changes"], record["calm_failed"], record["burst_failed"]) == (4, 0, 0)
     assert record["restart_failed"] >= 8
-    if server is ServerKind.PLAIN:  # which loses its change log
+    if server is ServerKind.PLAIN:  # has no change log after a restart
         assert record["restart_whole"] == 8
     for role in roles:
         assert record[f"{role}_rss_mib"] > 1.0
@@ -42,7 +42,7 @@
 
 
 class LateNodes(NodeProcesses):
-    """Hollow nodes whose one watch has each change only at the third reading of the counters, or never."""
+    """One watch that has each change only from the third reading of the counters on, or never."""
 
     def __init__(self, changes_arrive):
         super().__init__()
@@ -74,4 +74,4 @@
     plan = Plan(lists=1, servers=10, largest=10)
     run = HollowRun(plan, 1, PlainServer(tmp_path), LateNodes(changes_arrive), timing)
     figures = (await run.run_steady(0.02, 0.01)).deliveries.figures()
-    assert (figures.due, figures.missed, figures.repeated) == (2, missed, 0)
+    assert (figures.expected, figures.missed, figures.repeated) == (2, missed, 0)
