--- a/tests/support/documentation.py
+++ b/tests/support/documentation.py
@@ -1,13 +1,36 @@
-"""The pages' tables, read for the tests that compare pages with the code."""
+"""Tables of the documentation and log calls of the program, for tests that compare the two."""
 
 from __future__ import annotations
 
+import ast
 import re
+from collections.abc import Iterator
+from dataclasses import dataclass
 from pathlib import Path
 
 ROOT = Path(__file__).parents[2]
 DOCS = ROOT / "docs"
 EXAMPLES = DOCS / "examples"
+LOG_METHODS = {"info", "warning", "error", "exception"}
+
+
+@dataclass(frozen=True)
+class LogCall:
+    """A log call's message, as written in the code, and the names of its fields; `**` for a mapping."""
+
+    message: str
+    fields: list[str]
+
+
+def log_calls(path: Path) -> Iterator[LogCall]:
+    """The log calls with a constant message in a Python file."""
+    for node in ast.walk(ast.parse(path.read_text())):
+        if not isinstance(node, ast.Call) or not isinstance(node.func, ast.Attribute) or not node.args:
+            continue
+        message = node.args[0]
+        is_logger = re.search(r"log(ger)?$", ast.unparse(node.func.value))
+        if node.func.attr in LOG_METHODS and is_logger and isinstance(message, ast.Constant):
+            yield LogCall(str(message.value), [keyword.arg or "**" for keyword in node.keywords])
 
 
 def section(page: Path, heading: str) -> str:
--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import ast
 import importlib.util
 import re
 from collections.abc import Iterator
@@ -13,6 +12,7 @@
 
 from loadbalancer.events import AttemptResult, UpdateKind
 from loadbalancer.proxy.statistics import Gauges, Statistics
+from tests.support.documentation import log_calls
 
 ROOT = Path(__file__).parents[1]
 PAGES = (
@@ -26,7 +26,6 @@
     "docs/races.md",
     "docs/slow-start.md",
 )
-LOG_METHODS = {"info", "warning", "error", "exception"}
 
 
 def sources() -> list[Path]:
@@ -69,18 +68,8 @@
 
 def log_events(path: Path) -> Iterator[str]:
     """The event of each log call in a file: its text up to the first field."""
-    for node in ast.walk(ast.parse(path.read_text())):
-        if not isinstance(node, ast.Call) or not isinstance(node.func, ast.Attribute) or not node.args:
-            continue
-        text = node.args[0]
-        logger = ast.unparse(node.func.value)
-        if (
-            node.func.attr in LOG_METHODS
-            and re.search(r"log(ger)?$", logger)
-            and isinstance(text, ast.Constant)
-            and isinstance(text.value, str)
-        ):
-            yield re.split(r" \w+=|: %|%", text.value)[0].strip()
+    for call in log_calls(path):
+        yield re.split(r" \w+=|: %|%", call.message)[0].strip()
 
 
 def test_every_log_event_is_on_the_operations_page():
--- a/tests/test_external_names.py
+++ b/tests/test_external_names.py
@@ -42,9 +42,9 @@
     UPDATE_KINDS,
     write_action,
 )
+from tests.support.documentation import log_calls
 
 ROOT = Path(__file__).parents[1]
-LOG_METHODS = {"info", "warning", "error", "exception"}
 
 
 def columns(record: type[msgspec.Struct]) -> list[str]:
@@ -55,13 +55,8 @@
 def logged(package: str) -> Iterator[str]:
     """Each event that the package logs, with the names of its fields."""
     for path in (ROOT / "loadbalancer" / package).rglob("*.py"):
-        for call in ast.walk(ast.parse(path.read_text())):
-            if not isinstance(call, ast.Call) or not isinstance(call.func, ast.Attribute) or not call.args:
-                continue
-            is_logger = re.search(r"log(ger)?$", ast.unparse(call.func.value))
-            if call.func.attr in LOG_METHODS and is_logger and isinstance(call.args[0], ast.Constant):
-                fields = [keyword.arg or "**" for keyword in call.keywords]
-                yield " ".join([str(call.args[0].value), *fields])
+        for call in log_calls(path):
+            yield " ".join([call.message, *call.fields])
 
 
 def options() -> set[str]:
