--- a/tests/policy/checked_policy.py
+++ b/tests/policy/checked_policy.py
@@ -29,7 +29,7 @@
 INITIAL_FRACTION = 0.25
 
 
-def keyed(scope: DeduplicationScope, window_ms: float) -> ServiceClass:
+def build_keyed_class(scope: DeduplicationScope, window_ms: float) -> ServiceClass:
     return ServiceClass(
         scope.value,
         800,
@@ -44,9 +44,9 @@
     ServiceClass("idempotent", 1000, 2500, priority_weight=5, idempotency=Idempotency.IDEMPOTENT),
     ServiceClass("late", 1000, 2500, priority_weight=2, late_weight=0.4, idempotency=Idempotency.IDEMPOTENT),
     ServiceClass("non-idempotent", 800, 2000, idempotency=Idempotency.NON_IDEMPOTENT),
-    keyed(DeduplicationScope.ALL, 400),
-    keyed(DeduplicationScope.ZONE, 900),
-    keyed(DeduplicationScope.CELL, 900),
+    build_keyed_class(DeduplicationScope.ALL, 400),
+    build_keyed_class(DeduplicationScope.ZONE, 900),
+    build_keyed_class(DeduplicationScope.CELL, 900),
     ServiceClass("stream", 800, 2000, streaming=True, idempotency=Idempotency.NON_IDEMPOTENT),
 )
 
@@ -59,7 +59,7 @@
 
 @dataclass
 class ModelRequest:
-    """The model of one request."""
+    """The attempts of one request, their results and its state by the rules."""
 
     service_class: ServiceClass
     attempts: list[SentAttempt] = field(default_factory=list)
@@ -79,7 +79,7 @@
 
 
 class CheckedPolicy:
-    """A policy whose every action is checked against the rules."""
+    """A policy, and the model that checks its actions: the listed endpoints and the requests so far."""
 
     def __init__(self, seed: int, max_attempts: int, *, can_cancel: bool) -> None:
         self.now_ms = 500.0
@@ -128,12 +128,12 @@
         assert not request.ended, "a second final response"
         if isinstance(response, Reject) and request.possibly_executed():
             service_class = request.service_class
-            is_keyed_everywhere = (
+            is_deduplicated_everywhere = (
                 service_class.idempotency is Idempotency.KEYED
                 and service_class.deduplication_scope is DeduplicationScope.ALL
             )
             is_idempotent = service_class.idempotency is Idempotency.IDEMPOTENT
-            assert is_idempotent or is_keyed_everywhere, (
+            assert is_idempotent or is_deduplicated_everywhere, (
                 "a rejection of a request that may have been executed"
             )
         request.ended = True
@@ -144,15 +144,15 @@
         assert endpoint.state is EndpointState.READY, "an attempt at a draining or removed endpoint"
         assert len(request.attempts) < self.settings.max_attempts
         assert send.timeout_ms >= 0
-        executed = request.possibly_executed()
-        if request.service_class.idempotency is not Idempotency.IDEMPOTENT and executed:
-            self.check_keyed_retry(request.service_class, executed[0], endpoint)
+        possibly_executed = request.possibly_executed()
+        if request.service_class.idempotency is not Idempotency.IDEMPOTENT and possibly_executed:
+            self.check_keyed_retry(request.service_class, possibly_executed[0], endpoint)
         request.attempts.append(SentAttempt(endpoint, self.now_ms))
 
     def check_keyed_retry(self, service_class: ServiceClass, first: SentAttempt, endpoint: Endpoint) -> None:
         assert service_class.idempotency is Idempotency.KEYED, "a non-idempotent request sent twice"
         age_ms = self.now_ms - first.sent_ms
-        assert age_ms <= service_class.deduplication_window_ms, "a retry after the window"
+        assert age_ms <= service_class.deduplication_window_ms, "a retry after the deduplication window"
         if service_class.deduplication_scope is not DeduplicationScope.ALL:
             assert endpoint.zone == first.endpoint.zone
         if service_class.deduplication_scope is DeduplicationScope.CELL:
@@ -164,14 +164,14 @@
         self.handle(IncomingRequest(self.last_request_id, name, self.now_ms + remaining_ms))
 
     def finish(self, choice: int, result: AttemptResult, has_report: bool) -> None:
-        in_flight = [
+        attempts_in_flight = [
             (request_id, number)
             for request_id, request in self.requests.items()
             for number in request.in_flight()
         ]
-        if not in_flight:
+        if not attempts_in_flight:
             return
-        request_id, number = in_flight[choice % len(in_flight)]
+        request_id, number = attempts_in_flight[choice % len(attempts_in_flight)]
         request = self.requests[request_id]
         attempt = request.attempts[number]
         request.results[number] = result
@@ -192,13 +192,13 @@
             self.handle(ClientDisconnected(request_id))
 
     def start_response(self, choice: int) -> None:
-        waiting = [
+        unanswered_streams = [
             request_id
             for request_id, request in self.requests.items()
             if request.service_class.streaming and request.in_flight() and not request.ended
         ]
-        if waiting:
-            request_id = waiting[choice % len(waiting)]
+        if unanswered_streams:
+            request_id = unanswered_streams[choice % len(unanswered_streams)]
             request = self.requests[request_id]
             request.streaming = request.in_flight()[0]
             self.handle(ResponseStarted(request_id, request.streaming))
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -30,8 +30,8 @@
     assert full_threshold(harness, ready_count=4) > before
 
 
-def test_threshold_decreases_with_the_list_where_endpoints_report_requests_in_flight():
-    """Guard: with most endpoints removed, the threshold was that of all of them until responses came."""
+def test_threshold_decreases_when_endpoints_that_report_requests_in_flight_are_removed():
+    """Without a bound per endpoint, removing most endpoints lowers the threshold only after new responses."""
     harness = PolicyHarness(endpoint_count=12, replicas=7)
     for _ in range(60):
         for _ in range(20):
@@ -44,14 +44,14 @@
 
 @pytest.mark.parametrize("replicas", [4, 100])
 def test_minimum_threshold_is_divided_among_all_replicas(replicas):
-    """Guard: a minimum per replica added up, over hundreds of them, to a threshold that never took effect."""
+    """A minimum per replica adds up, over hundreds of replicas, to a threshold that never takes effect."""
     harness = PolicyHarness(endpoint_count=20, replicas=replicas)
     admitted = sum(harness.submit().is_sent for _ in range(400))
     assert admitted * replicas <= 20 * 7.0 + replicas * (1 + 2.0 * (20 * 7.0 / replicas) ** 0.5)
 
 
 def test_threshold_below_one_attempt_admits_some_requests():
-    """Guard: one attempt from each of hundreds of replicas kept saturated endpoints saturated."""
+    """One attempt from each of hundreds of replicas is enough to keep saturated endpoints saturated."""
     admitted = 0
     for seed in range(200):
         harness = PolicyHarness(endpoint_count=2, seed=seed, replicas=200)
@@ -61,7 +61,7 @@
 
 
 def test_ordinary_load_is_admitted_at_the_start():
-    """Guard: a threshold from an unknown rate rejected a fifth of the requests in the first seconds."""
+    """A threshold from a rate that is not known yet rejects a fifth of the requests in the first seconds."""
     harness = PolicyHarness(endpoint_count=10)
     assert all(harness.submit("post").is_sent for _ in range(8))
 
--- a/tests/policy/test_cursor_table.py
+++ b/tests/policy/test_cursor_table.py
@@ -7,7 +7,7 @@
 from loadbalancer.events import AttemptResult
 from tests.support.builders import PolicyHarness
 
-LOWEST_WEIGHT = 1 / 12  # of the builders' classes
+LOWEST_PRIORITY_WEIGHT = 1 / 12  # of the classes in tests/support/builders.py, where the highest is 1
 
 
 def threshold(harness: PolicyHarness, priority_weight: float, ready_count: int = 20) -> float:
@@ -29,7 +29,7 @@
 
 
 def test_cursor_waits_for_outcomes_between_moves_to_the_right():
-    """Guard: with few outcomes per period, the cursor moved far right at all replicas before they showed."""
+    """Without it, all replicas move far right in periods of few outcomes, before a move takes effect."""
     harness = PolicyHarness()
     for _ in range(5):
         harness.finish(harness.submit(), AttemptResult.REJECTED, 1.0, done=True)
@@ -37,7 +37,7 @@
     assert harness.cursor == 1
 
 
-def test_thresholds_start_full_then_decrease_and_stay_above_zero():
+def test_thresholds_decrease_right_of_the_full_positions_and_stay_above_zero():
     harness = PolicyHarness()
     last_position = harness.policy.admission.last_position
     thresholds = []
@@ -52,14 +52,14 @@
 
 def test_thresholds_of_low_priorities_are_lower_and_decrease_faster():
     harness = PolicyHarness()
-    high, low = threshold(harness, 1.0), threshold(harness, LOWEST_WEIGHT)
+    high, low = threshold(harness, 1.0), threshold(harness, LOWEST_PRIORITY_WEIGHT)
     assert low < high
     harness.move_cursor_to(harness.policy.admission.last_position)
-    assert threshold(harness, LOWEST_WEIGHT) / low < threshold(harness, 1.0) / high
+    assert threshold(harness, LOWEST_PRIORITY_WEIGHT) / low < threshold(harness, 1.0) / high
 
 
-def test_last_position_admits_under_a_quarter_of_high_priorities():
-    """Guard: with a third remaining in the highest row, attempts of all replicas kept endpoints saturated."""
+def test_threshold_at_the_last_position_is_under_a_quarter_of_the_full_one():
+    """With a third of it in the highest row, the attempts of all replicas keep endpoints saturated."""
     harness = PolicyHarness(endpoint_count=10, replicas=7)
     full = threshold(harness, 1.0, ready_count=10)
     harness.move_cursor_to(harness.policy.admission.last_position)
--- a/tests/policy/test_endpoint_set.py
+++ b/tests/policy/test_endpoint_set.py
@@ -1,4 +1,4 @@
-"""Membership updates and load reports, as the state of endpoints shows them."""
+"""Membership updates and load reports, and the state of endpoints after them."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_invariants.py
+++ b/tests/policy/test_invariants.py
@@ -53,9 +53,9 @@
 ) -> None:
     checked = CheckedPolicy(seed, max_attempts, can_cancel=can_cancel)
     checked.handle(MembershipUpdate(UpdateKind.CACHED, initial_endpoints()))
-    for happen, *arguments in events:
-        happen(checked, *arguments)
-    for _ in range(600):  # every attempt ends at last, as the wire guarantees
+    for step, *arguments in events:
+        step(checked, *arguments)
+    for _ in range(600):  # the host reports an outcome for every attempt
         if not any(request.in_flight() for request in checked.requests.values()):
             break
         checked.wait(1.0)
@@ -65,9 +65,9 @@
 
 
 @settings(derandomize=True, max_examples=30, deadline=None)
-@given(seed=st.integers(0, 2**32), replicas=st.integers(1, 40), gap_ms=st.floats(1.0, 30.0))
-def test_all_replicas_together_do_not_overload_a_warming_endpoint(seed, replicas, gap_ms):
-    """In any window it gets less than the overload factor times the attempts due to its current capacity."""
+@given(seed=st.integers(0, 2**32), replicas=st.integers(1, 40), interval_ms=st.floats(1.0, 30.0))
+def test_all_replicas_together_do_not_overload_a_warming_endpoint(seed, replicas, interval_ms):
+    """In any overload window, it gets less than the overload factor times its share by current capacity."""
     warmed_up = 12
     listed = tuple(Endpoint(f"s{index}", "a", 0) for index in range(warmed_up))
     checked_policies = [CheckedPolicy(seed + index, 2, can_cancel=True) for index in range(replicas)]
@@ -79,7 +79,7 @@
     sent_ms: deque[float] = deque()
     for index in range(600):
         checked = checked_policies[index % replicas]
-        checked.now_ms = 700.0 + index * gap_ms
+        checked.now_ms = 700.0 + index * interval_ms
         checked.submit(0, 2000.0)
         attempts = checked.requests[checked.last_request_id].attempts
         sent_ms.extend(attempt.sent_ms for attempt in attempts if attempt.endpoint.name == "warming")
@@ -87,7 +87,7 @@
             checked.finish(0, AttemptResult.OK, False)
         while sent_ms and sent_ms[0] <= checked.now_ms - OVERLOAD_WINDOW_MS:
             sent_ms.popleft()
-        ramp = min(1.0, index * gap_ms / SLOW_START_MS)
+        ramp = min(1.0, index * interval_ms / SLOW_START_MS)
         capacity = INITIAL_FRACTION + (1.0 - INITIAL_FRACTION) * ramp
-        mean_attempts = capacity * (OVERLOAD_WINDOW_MS / gap_ms) / (warmed_up + 1)
+        mean_attempts = capacity * (OVERLOAD_WINDOW_MS / interval_ms) / (warmed_up + 1)
         assert len(sent_ms) <= OVERLOAD_FACTOR * mean_attempts + 3.0 * mean_attempts**0.5 + 2.0
--- a/tests/policy/test_latency_baseline.py
+++ b/tests/policy/test_latency_baseline.py
@@ -1,4 +1,4 @@
-"""The load signal of latency: the quiet baseline, the target and saturation, as the cursor shows them."""
+"""The load signal of latency: the effect of baseline, target and saturation on the cursor."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def test_one_slow_response_in_a_period_does_not_move_the_cursor():
-    """Guard: in quiet pools a single slow response moved the cursor right, and requests were rejected."""
+    """If one outcome has the weight of many, one slow response at low load causes rejections."""
     harness = PolicyHarness()
     for _ in range(3):
         harness.end_loaded_period(200.0)
@@ -19,7 +19,7 @@
 
 @pytest.mark.parametrize(("in_flight", "cursor"), [(0, 0), (30, 1)])
 def test_latency_target_is_stricter_while_endpoints_may_be_congested(in_flight, cursor):
-    """Guard: chance in a small number of latencies shed load that endpoints had capacity for."""
+    """With few outcomes, a strict target sheds load by chance for which endpoints have capacity."""
     harness = PolicyHarness(endpoint_count=4, replicas=1)
     harness.serve_period(30, 300.0)
     for _ in range(in_flight):
@@ -30,7 +30,7 @@
 
 
 def test_cancelled_attempts_slower_than_the_mean_count_in_the_latency():
-    """Guard: only fast attempts remained to estimate from, and a congested pool looked fast."""
+    """If only fast attempts are measured, the latency of a congested pool is estimated too low."""
     harness = PolicyHarness(endpoint_count=4)
     harness.serve_period(30, 300.0)
     before = harness.policy.latency.fraction
@@ -44,19 +44,19 @@
 
 
 def test_cursor_moves_right_without_responses_while_latency_is_saturated():
-    """Guard: with one response in two periods the cursor moved left in the other one; congestion stayed."""
+    """With one response in two periods, the cursor moves left in the other one, and congestion persists."""
     harness = PolicyHarness(endpoint_count=2)
     harness.serve_period(20, 50.0)
     for _ in range(6):
         harness.end_loaded_period(950.0, count=12)
-    high = harness.cursor
+    before = harness.cursor
     harness.submit()
     harness.end_period()
-    assert harness.cursor == high + 1
+    assert harness.cursor == before + 1
 
 
-def test_saturated_latency_does_not_wait_for_outcomes():
-    """Guard: a move right waits for a number of outcomes; saturated latency bypasses the wait."""
+def test_saturated_latency_moves_the_cursor_without_a_wait_for_outcomes():
+    """A wait for outcomes delays the reaction when load rises faster than responses arrive."""
     harness = PolicyHarness()
     harness.end_loaded_period(200.0)
     for _ in range(4):
@@ -74,7 +74,7 @@
     assert harness.cursor == 2
 
 
-def test_one_fast_first_response_does_not_set_the_quiet_baseline():
+def test_one_fast_first_response_does_not_set_the_baseline():
     harness = PolicyHarness()
     harness.serve(latency_ms=200.0)  # a fifth of the objective; this idle pool's usual latency is 350 ms
     harness.end_period()
--- a/tests/policy/test_load_signals.py
+++ b/tests/policy/test_load_signals.py
@@ -1,4 +1,4 @@
-"""The load signals of utilisation, requests in flight and rejections, as the cursor shows them."""
+"""The load signals of utilisation, requests in flight and rejections: their effect on the cursor."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def test_outdated_utilisation_does_not_count():
-    """Guard: a proxy that rejects gets no new load reports, and the last ones kept it rejecting."""
+    """A proxy that rejects gets no new load reports; the last ones must not make it continue to reject."""
     harness = PolicyHarness(endpoint_count=2)
     harness.serve_period(6, 50.0, load_report=LoadReport(utilisation=1.0))
     assert harness.cursor == 1
@@ -33,14 +33,14 @@
 
 @pytest.mark.parametrize(("replicas", "cursor"), [(4, 0), (100, 1)])
 def test_many_replicas_have_a_lower_utilisation_target(replicas, cursor):
-    """Guard: with many replicas, endpoints above the median were saturated while it was below the target."""
+    """With many replicas, endpoints above the median are saturated while it is below the target for few."""
     harness = PolicyHarness(endpoint_count=2, replicas=replicas)
     harness.serve_period(12, 50.0, load_report=LoadReport(utilisation=0.955))
     assert harness.cursor == cursor
 
 
 def test_reported_requests_in_flight_over_target_move_the_cursor_each_period():
-    """Guard: with four responses per period each move took a second, and endpoints were saturated."""
+    """At four responses per period, a wait for outcomes takes a second per move, and endpoints saturate."""
     harness = PolicyHarness(endpoint_count=4, replicas=7)
     harness.serve_period(24, 100.0, load_report=LoadReport(in_flight=2.0))
     assert harness.cursor == 0
@@ -62,7 +62,7 @@
 
 @pytest.mark.parametrize(("tier", "cursor"), [(0, 1), (1, 0)])
 def test_errors_move_the_cursor_at_the_entry_tier_only(tier, cursor):
-    """Guard: rejections of a tier below reach the entry tier as errors only; it continued to send."""
+    """Rejections of a tier below reach the entry tier as errors only; if ignored, it continues to send."""
     harness = PolicyHarness(tier=tier)
     for _ in range(4):
         harness.finish(harness.submit("post"), AttemptResult.ERROR, 5.0)
--- a/tests/policy/test_package_rules.py
+++ b/tests/policy/test_package_rules.py
@@ -1,4 +1,4 @@
-"""The rules of the policy package: the deploy file lists it, its lines are short, it does no I/O."""
+"""The rules of the policy package: the deploy file lists its modules, lines are short, there is no I/O."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 TEXTS = {name: (ROOT / name).read_text() for name in LISTED}
 TREES = {name: ast.parse(text) for name, text in TEXTS.items()}
 # The program's own modules outside the package that it may import; none of them does I/O.
-ALLOWED_OWN = {"actions", "events", "settings", "discovery.watch_timing"}
+ALLOWED_MODULES = {"actions", "events", "settings", "discovery.watch_timing"}
 
 
 def test_deploy_file_lists_each_file_of_the_package():
@@ -49,6 +49,6 @@
 def test_module_reads_no_clock_no_environment_and_no_files(name):
     imports = set(re.findall(r"^(?:from|import) (\w+)", TEXTS[name], flags=re.MULTILINE))
     assert imports <= {"__future__", "math", "collections", "dataclasses", "random", "loadbalancer"}
-    own = set(re.findall(r"^(?:from|import) loadbalancer\.([\w.]+)", TEXTS[name], flags=re.MULTILINE))
-    assert {module for module in own if not module.startswith("policy.")} <= ALLOWED_OWN
+    own_modules = set(re.findall(r"^(?:from|import) loadbalancer\.([\w.]+)", TEXTS[name], flags=re.MULTILINE))
+    assert {module for module in own_modules if not module.startswith("policy.")} <= ALLOWED_MODULES
     assert "open(" not in TEXTS[name]
--- a/tests/policy/test_request_tracker.py
+++ b/tests/policy/test_request_tracker.py
@@ -1,4 +1,4 @@
-"""Open requests: the one final response, streamed responses, and what counts in flight."""
+"""Open requests: the one final response, streamed responses, and the weight in flight."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
     assert harness.finish(request, AttemptResult.RESET, done=True) == []
 
 
-def test_requests_count_in_flight_by_cost_if_priorities_are_by_cost():
+def test_requests_count_in_flight_by_cost_if_the_settings_weight_by_cost():
     harness = PolicyHarness(weight_by_cost=True)
     harness.submit(cost_hint_ms=10.0)
     harness.submit(cost_hint_ms=100.0)
@@ -59,7 +59,7 @@
 
 
 def test_cancelled_attempt_counts_in_flight_for_the_mean_latency_of_its_class():
-    """Guard: an endpoint continues to execute abandoned attempts; without them it was overloaded."""
+    """An endpoint can continue to execute abandoned attempts, and is overloaded if they do not count."""
     harness = PolicyHarness(endpoint_count=1)
     for _ in range(3):
         harness.serve(latency_ms=400.0)
--- a/tests/policy/test_retry_rules.py
+++ b/tests/policy/test_retry_rules.py
@@ -106,15 +106,15 @@
     assert types(actions) == [Reject]
 
 
-def test_no_hedged_request_while_an_attempt_is_in_flight():
-    """Guard: hedged requests for slow attempts added load during overload."""
+def test_slow_attempt_causes_no_hedged_request():
+    """Hedged requests for slow attempts add load during overload."""
     harness = PolicyHarness()
     harness.submit("read")
     assert sends(harness.end_period(600.0)) == []
 
 
 def test_attempt_without_late_value_is_stopped_at_the_objective():
-    """Guard: responses after the objective had no value and took capacity from others."""
+    """Responses after the objective have no value for this class and take capacity from other requests."""
     harness = PolicyHarness()
     assert 900.0 < harness.submit("post", remaining_ms=2000.0).send.timeout_ms < 1000.0
     assert harness.submit("post", remaining_ms=500.0).send.timeout_ms <= 500.0
--- a/tests/policy/test_selection_by_failures.py
+++ b/tests/policy/test_selection_by_failures.py
@@ -18,11 +18,11 @@
         result = AttemptResult.ERROR if failing else AttemptResult.OK
         harness.finish(request, result, latency_ms)
         harness.end_period(0.0)
-    assert selected <= 8  # of 20 in proportion
+    assert selected <= 8  # an equal share is 20
 
 
 def test_endpoint_that_fails_one_class_is_avoided_by_that_class_only():
-    """Guard: with one ratio for all classes, it continued to get requests that must not be repeated."""
+    """With one ratio for all classes, it continues to get requests that must not be repeated."""
     harness = PolicyHarness(endpoint_count=4)
     selected = {"post": 0, "read": 0}
     for _ in range(120):
--- a/tests/policy/test_selection_by_latency.py
+++ b/tests/policy/test_selection_by_latency.py
@@ -8,8 +8,8 @@
 from tests.support.builders import IDEMPOTENT_READ, PolicyHarness
 
 
-def teach_latency(harness: PolicyHarness, endpoint: str, latency_ms: float) -> None:
-    """Observe a response of this endpoint without an open request."""
+def observe_response(harness: PolicyHarness, endpoint: str, latency_ms: float) -> None:
+    """Record a response of this endpoint without an open request."""
     tracked = harness.tracked(endpoint)
     harness.policy.outcome_recorder.observe(IDEMPOTENT_READ, AttemptResult.OK, latency_ms, 1.0)
     tracked.observe_result(harness.now_ms, IDEMPOTENT_READ.name, AttemptResult.OK)
@@ -26,13 +26,13 @@
     harness = PolicyHarness(endpoint_count=2)
     for _ in range(30):
         for endpoint, latency_ms in (("s0", 300.0), ("s1", 100.0)):
-            teach_latency(harness, endpoint, latency_ms)
+            observe_response(harness, endpoint, latency_ms)
     selected = [harness.serve() for _ in range(10)]
     assert selected.count("s1") == 10
 
 
 def test_hanging_endpoint_is_avoided_long_before_its_timeout():
-    """Guard: an endpoint that accepts attempts and never responds kept its good rank until time-outs."""
+    """By measured latency alone, an endpoint that never responds keeps its good rank until time-outs."""
     harness = PolicyHarness(endpoint_count=4)
     for _ in range(20):
         harness.serve()
@@ -71,7 +71,7 @@
         harness.finish(request, AttemptResult.OK, latency_ms)
 
     def in_flight_at_first_use(harness: PolicyHarness) -> int:
-        """How many attempts the other endpoint has when the slow one gets its first."""
+        """The number of attempts at the other endpoint before the slow one gets its first."""
         requests = [harness.submit() for _ in range(12)]
         selected = [request.endpoint for request in requests if request.is_sent]
         return selected.index("s1") if "s1" in selected else len(selected)
@@ -81,7 +81,7 @@
     assert in_flight_at_first_use(later) < in_flight_at_first_use(harness)
 
 
-def test_fault_of_all_endpoints_excludes_none():
+def test_no_endpoint_is_excluded_when_all_are_slow():
     harness = PolicyHarness(endpoint_count=6)
     for _ in range(6):
         harness.serve()
--- a/tests/policy/test_selection_by_load.py
+++ b/tests/policy/test_selection_by_load.py
@@ -27,7 +27,7 @@
 
 
 def test_replicas_with_the_same_outdated_reports_do_not_all_select_the_same_endpoint():
-    """Guard: all replicas selected the one endpoint that was idle by the last load reports."""
+    """If replicas rank the whole pool, all select the one endpoint that is idle by the last load reports."""
     selected = []
     for seed in range(40):
         harness = PolicyHarness(endpoint_count=0, seed=seed, replicas=40)
@@ -39,14 +39,14 @@
     assert len(set(selected)) >= 10
 
 
-def test_other_zone_lowers_the_rank_if_crossing_has_a_price():
-    free = PolicyHarness(endpoint_count=2)
-    priced = PolicyHarness(endpoint_count=2, cross_zone_price=0.1)
-    assert {free.serve() for _ in range(12)} == {"s0", "s1"}
-    assert {priced.serve() for _ in range(12)} == {"s0"}
+def test_endpoint_in_another_zone_ranks_worse_with_a_cross_zone_price():
+    without_price = PolicyHarness(endpoint_count=2)
+    with_price = PolicyHarness(endpoint_count=2, cross_zone_price=0.1)
+    assert {without_price.serve() for _ in range(12)} == {"s0", "s1"}
+    assert {with_price.serve() for _ in range(12)} == {"s0"}
 
 
-def test_congested_zone_spills_over():
+def test_attempts_spill_over_from_a_congested_zone():
     harness = PolicyHarness(endpoint_count=2, cross_zone_price=0.03)
     requests = [harness.submit() for _ in range(6)]
     selected = [request.endpoint for request in requests if request.is_sent]
@@ -65,8 +65,8 @@
 
 
 @pytest.mark.parametrize("age_ms", [None, 2000.0])
-def test_endpoints_that_have_not_reported_get_attempts_by_capacity(age_ms):
-    """Guard: in large pools most have not; the small ones looked idle and got several times their share."""
+def test_endpoints_without_a_fresh_load_report_get_attempts_by_capacity(age_ms):
+    """In large pools most have none; ranked as idle, the small ones get several times their share."""
     harness = PolicyHarness(
         endpoint_count=0, uses_capacity=True, replicas=200, slow_start_initial_fraction=0.2
     )
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -22,7 +22,7 @@
 
 
 def test_all_replicas_together_limit_a_warming_endpoint_to_its_current_capacity():
-    """Guard: one attempt per window from each of many replicas added up to an overload."""
+    """One attempt per overload window from each of many replicas adds up to an overload."""
     replicas, warmed_up = 120, 20
     warming = Endpoint("warming", "a", started_ms=1000.0)
     harnesses = []
@@ -43,7 +43,7 @@
 
 
 def test_client_retries_over_the_usual_rate_add_no_attempts_at_a_warming_pool():
-    """Guard: each retry of a rejected client got a new draw; the pool got several times its capacity."""
+    """If each retry of a rejected client is a new draw, the pool gets several times its capacity."""
     served = []
     for max_tries in (1, 6):
         harness = PolicyHarness(endpoint_count=20, replicas=1, slow_start_initial_fraction=0.1)
@@ -73,7 +73,7 @@
 
 
 def test_warming_endpoints_get_attempts_by_capacity_while_the_others_are_congested():
-    """Guard: with six of ten new, these got 2 attempts per second, and the four others were saturated."""
+    """If six new endpoints of ten get 2 attempts per second, the four others are saturated."""
     harness = PolicyHarness(endpoint_count=0, replicas=10)
     started_ms = harness.now_ms - 5000.0
     warming = [Endpoint(f"new{index}", "a", started_ms=started_ms) for index in range(6)]
