--- a/tests/simulator/test_load_reports.py
+++ b/tests/simulator/test_load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports in response headers: malformed ones are ignored."""
+"""Load reports in response headers: the proxy ignores malformed ones and forwards the response."""
 
 from __future__ import annotations
 
--- a/tests/simulator/test_platform_settings.py
+++ b/tests/simulator/test_platform_settings.py
@@ -51,7 +51,7 @@
     ("weights", "uses_capacity"), [("nominal", True), ("rough", True), ("live", False), ("off", False)]
 )
 def test_listed_capacities_are_used_unless_they_depend_on_load(weights, uses_capacity):
-    """Guard: requests in flight were reported and not read."""
+    """Requests in flight, which the platform calls `concurrent`, are otherwise reported and not read."""
     feedback = {"fields": ["err_ps", "concurrent"], "via": "inline"}
     settings = parse_settings(CONFIG | {"feedback": feedback, "weights": weights})
     assert settings.uses_capacity is uses_capacity
--- a/tests/simulator/test_simulator_adapter.py
+++ b/tests/simulator/test_simulator_adapter.py
@@ -66,8 +66,8 @@
         replies = handle_all(adapter, *interleaved)
         return {node: [reply for reply in replies if reply["node"] == node] for node in nodes}
 
-    together = replies_by_node([0, 1, 2])
-    assert together == {node: replies_by_node([node])[node] for node in range(3)}
+    in_one_process = replies_by_node([0, 1, 2])
+    assert in_one_process == {node: replies_by_node([node])[node] for node in range(3)}
 
 
 @pytest.mark.parametrize(
@@ -78,33 +78,33 @@
         {"kind": "NONSENSE", "node": 3},
     ],
 )
-def test_failure_at_a_node_is_its_panic(event, capsys):
+def test_failure_at_a_node_is_reported_as_its_panic(event, capsys):
     replies = handle_all(SimulatorAdapter(), event)
     assert [(reply["kind"], reply["node"]) for reply in replies] == [("PANIC", 3)]
     assert replies[0]["bodyText"]
     assert capsys.readouterr().out == ""
 
 
-def test_unknown_kind_of_event_at_a_running_node_is_its_panic():
+def test_unknown_kind_of_event_at_a_running_node_is_reported_as_its_panic():
     assert handle_all(started_adapter(), {"kind": "NONSENSE", "node": 0})[0]["kind"] == "PANIC"
 
 
-def test_request_of_an_unknown_class_is_a_panic():
+def test_request_of_an_unknown_class_is_reported_as_a_panic():
     assert handle_all(started_adapter(), request("q", service_class="unheard of"))[0]["kind"] == "PANIC"
 
 
 @pytest.mark.parametrize(
-    ("event", "problem"),
+    ("event", "bad_value"),
     [
         (request("q", service_class="unheard of"), "lane: 'unheard of'"),
         (outcome("q", "10.0.0.0:1", 42, done=False), "rc: 42"),
     ],
 )
-def test_panic_names_the_event_and_the_bad_value(event, problem):
+def test_panic_names_the_event_and_the_bad_value(event, bad_value):
     (reply,) = handle_all(started_adapter(), event)
     assert reply["kind"] == "PANIC"
     assert event["kind"] in reply["bodyText"]
-    assert problem in reply["bodyText"]
+    assert bad_value in reply["bodyText"]
 
 
 FRAME = b'{"kind":"FRAME","nowMs":1,"seq":1}\n'
@@ -123,7 +123,7 @@
         pytest.param(FRAME, WireFault.UNFINISHED_BATCH, id="unfinished batch"),
     ],
 )
-def test_bad_input_is_an_error_with_its_fault(lines, fault):
+def test_error_of_bad_input_has_its_fault(lines, fault):
     with pytest.raises(WireError, match=fault.value) as raised:
         run(io.BytesIO(lines), io.BytesIO())
     assert raised.value.fault is fault
--- a/tests/simulator/test_simulator_wire.py
+++ b/tests/simulator/test_simulator_wire.py
@@ -1,4 +1,4 @@
-"""The simulator's messages, as the policy receives them and its actions return as messages."""
+"""The translation of the simulator's messages to events of the policy, and of its actions to messages."""
 
 from __future__ import annotations
 
@@ -65,19 +65,19 @@
 
 def test_events_without_a_reply_are_accepted():
     adapter = started_adapter()
-    of_endpoint = {"node": 0, "latencyMs": 1.0, "server": "10.0.0.1:1"}
+    common_fields = {"node": 0, "latencyMs": 1.0, "server": "10.0.0.1:1"}
     events = [
         {"kind": "PEER", "node": 0, "by": 1, "contents": "aGk="},
-        of_endpoint | {"kind": "HEALTH", "rc": 0, "telemetry": [4, 0.2]},
-        of_endpoint | {"kind": "FIRST", "txn": "unknown", "attempt": 0},
-        {"kind": "ALARM", "node": 0, "name": "not ours"},
+        common_fields | {"kind": "HEALTH", "rc": 0, "telemetry": [4, 0.2]},
+        common_fields | {"kind": "FIRST", "txn": "unknown", "attempt": 0},
+        {"kind": "ALARM", "node": 0, "name": "unknown"},
     ]
     assert [handle_all(adapter, event) for event in events] == [[], [], [], []]
     assert adapter.hosted[0].policy.endpoints.by_name["10.0.0.1:1"].reported_queue == 4
 
 
-def test_listed_capacity_reaches_the_policy():
-    """Guard: capacities were sent and not read."""
+def test_listed_capacity_is_read_from_discovery_and_from_the_simulator():
+    """If the listed capacities are not read, all endpoints get the same share of attempts."""
     target = {"uid": "s0", "endpoint": "127.0.0.1:9", "state": "Ready", "capacity_hint": 2.5}
     assert parse_endpoint_list({"rev": 1, "all": True, "targets": [target]}).endpoints[0].capacity == 2.5
     assert read_endpoint({"server": "s0", "stageState": "up", "powerHint": 2.5}).capacity == 2.5
--- a/tests/simulator/wire_messages.py
+++ b/tests/simulator/wire_messages.py
@@ -1,4 +1,4 @@
-"""Builders for messages on the simulator's wire, and functions that deliver them to an adapter."""
+"""Builders for messages of the simulator's protocol, and functions that deliver them to an adapter."""
 
 from __future__ import annotations
 
@@ -98,9 +98,9 @@
 
 def run_batches(*batches: bytes) -> list[dict[str, Any]]:
     """Run the adapter on the batches and return the lines of its replies."""
-    sink = io.BytesIO()
-    run(io.BytesIO(b"".join(batches)), sink)
-    return [orjson.loads(line) for line in sink.getvalue().splitlines()]
+    output = io.BytesIO()
+    run(io.BytesIO(b"".join(batches)), output)
+    return [orjson.loads(line) for line in output.getvalue().splitlines()]
 
 
 def of_kind(messages: list[Any], kind: str) -> list[Any]:
