--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -1,4 +1,4 @@
-"""The pages name things that are in the code, and the operations page has every log event."""
+"""Names on the documentation pages exist in the code, and the operations page has every log event."""
 
 from __future__ import annotations
 
@@ -12,9 +12,8 @@
 
 from loadbalancer.events import AttemptResult, UpdateKind
 from loadbalancer.proxy.statistics import Gauges, Statistics
-from tests.support.documentation import log_calls
+from tests.support.documentation import ROOT, log_calls
 
-ROOT = Path(__file__).parents[1]
 PAGES = (
     "CONTRIBUTING.md",
     "README.md",
@@ -34,13 +33,13 @@
 
 
 def code_spans(page: str) -> Iterator[str]:
-    """What stands between backquotes in the page's text and tables."""
+    """The code spans in a page's text and tables, without its code blocks."""
     text = re.sub(r"```.*?```", "", (ROOT / page).read_text(), flags=re.DOTALL)
     yield from re.findall(r"`([^`\n]+)`", text)
 
 
 @pytest.mark.parametrize("page", PAGES)
-def test_files_on_the_pages_exist(page):
+def test_files_named_on_the_pages_exist(page):
     paths = [
         path.relative_to(ROOT).as_posix()
         for path in [*ROOT.glob("*.md"), *ROOT.glob("docs/*.md"), *sources()]
@@ -50,7 +49,7 @@
 
 
 @pytest.mark.parametrize("page", PAGES)
-def test_names_on_the_pages_are_in_the_code(page):
+def test_names_on_the_pages_exist_in_the_code(page):
     """Classes, methods, constants and tests: `Name`, `Name.method`, `NAME`, `test_name`."""
     known = set(re.findall(r"\w+", "\n".join(path.read_text() for path in sources())))
     named = [span for span in code_spans(page) if re.fullmatch(r"([A-Z]\w+(\.\w+)*|test_\w+)", span)]
@@ -66,21 +65,16 @@
     assert [name for name in named if importlib.util.find_spec(name) is None] == []
 
 
-def log_events(path: Path) -> Iterator[str]:
-    """The event of each log call in a file: its text up to the first field."""
-    for call in log_calls(path):
-        yield re.split(r" \w+=|: %|%", call.message)[0].strip()
-
-
 def test_every_log_event_is_on_the_operations_page():
     spans = set(code_spans("docs/operations.md"))
-    events = {event for path in (ROOT / "loadbalancer").rglob("*.py") for event in log_events(path)}
+    calls = [call for path in (ROOT / "loadbalancer").rglob("*.py") for call in log_calls(path)]
+    events = {re.split(r" \w+=|: %|%", call.message)[0].strip() for call in calls}  # up to the first field
     assert {"statistics", "endpoint list unavailable, keeping last known good"} <= events
     assert {event for event in events if event not in spans} == set()
 
 
-def test_counters_in_quoted_log_lines_are_those_of_the_code():
-    """The pages quote lines of real runs; a renamed counter would leave them behind."""
+def test_counters_in_quoted_log_lines_exist_in_the_code():
+    """The page quotes log lines of real runs, which are out of date once a counter is renamed."""
     names = {*Statistics().fields(), *Gauges._fields}
     names |= {f"attempts_{result.value}" for result in AttemptResult}
     names |= {f"endpoint_lists_{kind.name.lower()}" for kind in UpdateKind}
--- a/tests/test_external_names.py
+++ b/tests/test_external_names.py
@@ -1,4 +1,4 @@
-"""Names that leave the process: log events, stored fields, headers, simulator messages, options, columns.
+"""External names: log events, stored fields, headers, simulator messages, options, result columns.
 
 Operators' tools, other versions and the platform match these names, so that a rename in the code must not
 change them. Configuration keys are compared with `docs/configuration.md` by `test_configuration_page.py`.
@@ -42,9 +42,7 @@
     UPDATE_KINDS,
     write_action,
 )
-from tests.support.documentation import log_calls
-
-ROOT = Path(__file__).parents[1]
+from tests.support.documentation import ROOT, log_calls
 
 
 def columns(record: type[msgspec.Struct]) -> list[str]:
@@ -52,7 +50,7 @@
     return [field.encode_name for field in msgspec.structs.fields(record)]
 
 
-def logged(package: str) -> Iterator[str]:
+def log_events(package: str) -> Iterator[str]:
     """Each event that the package logs, with the names of its fields."""
     for path in (ROOT / "loadbalancer" / package).rglob("*.py"):
         for call in log_calls(path):
@@ -84,14 +82,15 @@
 
 NAMES = {
     "proxy, log": (
-        set(logged("proxy")) | {event for event in logged("") if "proxy s" in event or "bad conf" in event},
+        set(log_events("proxy"))
+        | {event for event in log_events("") if "proxy s" in event or "bad conf" in event},
         """discovery address set name=%s address=%s:%d|configuration changes wait for the next start name=%s
         |statistics name=%s %s|policy fault event=%s|proxy serving name=%s address=%s:%d
         |proxy stopping name=%s|bad configuration, keeping the one in force cause=%s""",
     ),
-    "watch, log": (set(logged("discovery")), "endpoint list unavailable, keeping last known good: %s"),
+    "watch, log": (set(log_events("discovery")), "endpoint list unavailable, keeping last known good: %s"),
     "discovery server, log": (
-        set(logged("discovery_server")),
+        set(log_events("discovery_server")),
         """snapshot rejected list error|snapshot loaded list revision entries|upstream connected list upstream
         |upstream lost, keeping last known good list upstream cause|snapshot write failed list error
         |change committed list revision entries|update rejected, keeping last known good list error
@@ -219,7 +218,7 @@
 
 
 @pytest.mark.parametrize(("found", "expected"), NAMES.values(), ids=NAMES)
-def test_name_outside_the_process_is_unchanged(found, expected):
+def test_external_name_is_unchanged(found, expected):
     names = [name.strip() for name in expected.split("|")]
     assert (sorted(found) if isinstance(found, set) else list(found)) == (
         sorted(names) if isinstance(found, set) else names
