--- a/tests/support/documentation.py
+++ b/tests/support/documentation.py
@@ -42,7 +42,7 @@
 
 
 def table_rows(text: str, columns: tuple[str, ...]) -> list[list[str]]:
-    """The cells, without their code quotes, of all tables with these columns."""
+    """The cells of all tables with these columns, code spans without their backquotes."""
     rows = []
     in_table = False
     for line in text.splitlines():
@@ -57,7 +57,7 @@
 
 
 def _unquoted(cell: str) -> str:
-    """A cell's text; a cell that is one code span loses its quotes."""
+    """A cell's text, without its backquotes if it is one code span."""
     cell = cell.strip().replace(r"\|", "|")
     span = re.fullmatch(r"(`+)(.*)\1", cell)
     if span is None or span[1] in span[2]:
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""The files in docs/examples start a program; only the ports are changed to ones that the kernel chooses."""
+"""The programs start with the files in docs/examples, on ports that the kernel chooses."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def start() -> Iterator[Start]:
-    """Starts a module as a process, which is ended after the test."""
+    """Starts a module as a process, which is killed after the test."""
     processes: list[subprocess.Popen[str]] = []
 
     def start_module(*arguments: str, **environment: str) -> subprocess.Popen[str]:
@@ -39,7 +39,7 @@
 
 
 def logged_port(process: subprocess.Popen[str], event: str) -> int:
-    """The port in the log line of this event, which says that the program listens."""
+    """The port in the log line of this event, which is written once the program listens."""
     assert process.stderr is not None
     for line in process.stderr:
         if event in line:
@@ -47,7 +47,7 @@
     raise AssertionError(f"the process ended without {event!r}")
 
 
-def readiness(port: int) -> int:
+def readiness_status(port: int) -> int:
     connection = http.client.HTTPConnection("127.0.0.1", port)
     try:
         connection.request("GET", "/up")
@@ -56,29 +56,29 @@
         connection.close()
 
 
-def test_example_proxy_starts_ready_and_ends_in_order(start, tmp_path):
+def test_example_proxy_is_ready_and_exits_with_0_on_sigterm(start, tmp_path):
     document = json.loads((EXAMPLES / "proxy.json").read_text())
     path = tmp_path / "proxy.json"
     path.write_text(json.dumps(document | {"listen": "127.0.0.1:0"}))
     process = start("loadbalancer", PROXY_CONFIG=str(path))
-    assert readiness(logged_port(process, "proxy serving")) == 200
+    assert readiness_status(logged_port(process, "proxy serving")) == 200
     process.send_signal(signal.SIGTERM)
     assert process.wait() == 0
 
 
-def test_example_discovery_server_starts_without_a_list_and_ends_in_order(start, tmp_path):
+def test_example_discovery_server_has_no_list_yet_and_exits_with_0_on_sigterm(start, tmp_path):
     text = (EXAMPLES / "discovery-server.toml").read_text()
     text = re.sub(r"listen = .*", 'listen = "127.0.0.1:0"', text)
     text = re.sub(r"state_dir = .*", f"state_dir = {json.dumps(str(tmp_path / 'state'))}", text)
     path = tmp_path / "discovery-server.toml"
     path.write_text(text)
     process = start("loadbalancer.discovery_server", str(path))
-    assert readiness(logged_port(process, "listening")) == 503
+    assert readiness_status(logged_port(process, "listening")) == 503
     process.send_signal(signal.SIGTERM)
     assert process.wait() == 0
 
 
-def test_examples_are_joined_by_their_addresses():
+def test_example_proxy_has_the_address_of_the_example_discovery_server():
     proxy = parse_config((EXAMPLES / "proxy.json").read_bytes())
     (endpoint_list,) = read_config(EXAMPLES / "discovery-server.toml").lists
     assert "{}:{}".format(*proxy.discovery) == endpoint_list.listen
