--- a/tests/policy/test_latency_baseline.py
+++ b/tests/policy/test_latency_baseline.py
@@ -19,7 +19,7 @@
 
 @pytest.mark.parametrize(("in_flight", "cursor"), [(0, 0), (30, 1)])
 def test_latency_target_is_stricter_while_endpoints_may_be_congested(in_flight, cursor):
-    """With few outcomes, a strict target sheds load by chance for which endpoints have capacity."""
+    """Few latencies vary by chance; a target that is always strict sheds load without need."""
     harness = PolicyHarness(endpoint_count=4, replicas=1)
     harness.serve_period(30, 300.0)
     for _ in range(in_flight):
