--- a/tests/support/documentation.py
+++ b/tests/support/documentation.py
@@ -1,13 +1,36 @@
-"""The pages' tables, read for the tests that compare pages with the code."""
+"""Tables of the documentation and log calls of the program, for tests that compare the two."""
 
 from __future__ import annotations
 
+import ast
 import re
+from collections.abc import Iterator
+from dataclasses import dataclass
 from pathlib import Path
 
 ROOT = Path(__file__).parents[2]
 DOCS = ROOT / "docs"
 EXAMPLES = DOCS / "examples"
+LOG_METHODS = {"info", "warning", "error", "exception"}
+
+
+@dataclass(frozen=True)
+class LogCall:
+    """A log call's message, as written in the code, and the names of its fields; `**` for a mapping."""
+
+    message: str
+    fields: list[str]
+
+
+def log_calls(path: Path) -> Iterator[LogCall]:
+    """The log calls with a constant message in a Python file."""
+    for node in ast.walk(ast.parse(path.read_text())):
+        if not isinstance(node, ast.Call) or not isinstance(node.func, ast.Attribute) or not node.args:
+            continue
+        message = node.args[0]
+        is_logger = re.search(r"log(ger)?$", ast.unparse(node.func.value))
+        if node.func.attr in LOG_METHODS and is_logger and isinstance(message, ast.Constant):
+            yield LogCall(str(message.value), [keyword.arg or "**" for keyword in node.keywords])
 
 
 def section(page: Path, heading: str) -> str:
@@ -19,7 +42,7 @@
 
 
 def table_rows(text: str, columns: tuple[str, ...]) -> list[list[str]]:
-    """The cells, without their code quotes, of all tables with these columns."""
+    """The cells of all tables with these columns, code spans without their backquotes."""
     rows = []
     in_table = False
     for line in text.splitlines():
@@ -34,7 +57,7 @@
 
 
 def _unquoted(cell: str) -> str:
-    """A cell's text; a cell that is one code span loses its quotes."""
+    """A cell's text, without its backquotes if it is one code span."""
     cell = cell.strip().replace(r"\|", "|")
     span = re.fullmatch(r"(`+)(.*)\1", cell)
     if span is None or span[1] in span[2]:
