--- a/loadbalancer/proxy/request_intake.py
+++ b/loadbalancer/proxy/request_intake.py
@@ -1,4 +1,4 @@
-"""Intake of clients' requests: each complete request is added to the pending ones or refused."""
+"""Receives clients' requests: each complete request becomes a pending request or gets an error response."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class RequestIntake:
-    """Owns the listener and decides, before the policy does, whether a request can be handled at all.
+    """Owns the listener, and rejects requests that are invalid or over a limit before the policy gets them.
 
     Attributes:
-        listener: accepts clients' connections.
+        listener: accepts connections from clients.
     """
 
     def __init__(
@@ -31,7 +31,7 @@
         self._statistics = statistics
 
     def _on_request(self, http_request: HttpRequest) -> None:
-        """Handle a complete request."""
+        """Handle a completely received request."""
         self._statistics.requests_received += 1
         try:
             pending = parse_request(http_request, self._service_classes, self._requests.by_id, self._clock)
@@ -40,18 +40,18 @@
             http_request.respond(error.status)
             return
         if not self._has_capacity():
-            # Nothing of the request has been forwarded, so that a retry is harmless: a rejection.
+            # The request has not been forwarded, so a client can safely retry it: it is rejected, not failed.
             self._statistics.requests_over_limit += 1
             http_request.respond(HTTPStatus.SERVICE_UNAVAILABLE)
             return
         self._requests.add(pending)
 
     def _has_capacity(self) -> bool:
-        """Whether one more request may be open; may evict an idle connection to make room."""
-        # Guard: while a replica restarts, many connections idle for a short time can use up the connection
-        # limit, and requests are rejected although few are open. A complete request therefore evicts the
-        # connection that has been idle for longest, without the grace period that a new connection observes.
-        # Trade-off: where connecting is expensive, the evicted client pays for it.
+        """Returns whether one more request may be open; may evict an idle connection to free capacity."""
+        # While a replica restarts, many connections that are idle for a short time can use up the connection
+        # limit, and requests would be rejected although few are open. A complete request therefore evicts
+        # the connection that has been idle for longest, without the grace period that applies to evictions
+        # for a new connection. Trade-off: the evicted client has to connect again, which can be expensive.
         return self._requests.open_count < self._max_open_requests and self.listener.ensure_capacity(
             grace_s=0.0
         )
--- a/loadbalancer/proxy/request_parsing.py
+++ b/loadbalancer/proxy/request_parsing.py
@@ -1,4 +1,4 @@
-"""Validation of clients' HTTP requests and their conversion to the policy's `IncomingRequest`."""
+"""Validates clients' HTTP requests and converts them to the policy's `IncomingRequest` events."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from loadbalancer.proxy.pending_request import PendingRequest
 from loadbalancer.settings import Idempotency, ServiceClass
 
-RESPONSE_MARGIN_S = 0.015  # from the final response to the client's deadline
-MAX_TIMEOUT_FACTOR = 10.0  # longest time-out that a client may request, in time-outs of its service class
+RESPONSE_MARGIN_S = 0.015  # between sending the final response and the client's deadline
+MAX_TIMEOUT_FACTOR = 10.0  # a client may request at most this multiple of its service class's time-out
 US_PER_MS = 1000.0
 
 DEADLINE_HEADER = b"req-deadline-ms"
@@ -29,11 +29,11 @@
 
 
 class BadRequestError(Exception):
-    """A request that can't be served and that the policy is not given.
+    """A request is invalid: the proxy responds with an error status and does not pass it to the policy.
 
     Attributes:
-        status: of the final response.
-        field: the part of the request at fault: `path`, `method`, `body` or a header's name.
+        status: the status of the final response.
+        field: the invalid part of the request: `path`, `method`, `body` or a header's name.
     """
 
     def __init__(self, status: HTTPStatus, field: str) -> None:
@@ -48,10 +48,11 @@
     open_request_ids: Container[str],
     clock: Clock,
 ) -> PendingRequest:
-    """Validate and convert a complete request.
+    """Validate a completely received request and convert it.
 
     Raises:
-        BadRequestError: the request names no service class, uses the wrong method or has an invalid header.
+        BadRequestError: the path names no service class, the method does not match it, a header or the body
+            is invalid, or a request with the same id is pending.
     """
     headers = http_request.headers
     service_class = _service_class(http_request, service_classes)
@@ -73,11 +74,11 @@
 
 
 def _service_class(http_request: HttpRequest, service_classes: Mapping[str, ServiceClass]) -> ServiceClass:
-    """The class that the first path segment names, if it allows the request's method."""
+    """Returns the service class that the first path segment names, if it allows the request's method."""
     segments = http_request.target.partition(b"?")[0].split(b"/")
     name = segments[1] if len(segments) > 1 else b""
     if b"%" in name:
-        from urllib.parse import unquote_to_bytes  # seldom needed, and expensive at a start
+        from urllib.parse import unquote_to_bytes  # rarely needed, and its import slows the start
 
         name = unquote_to_bytes(name)
     service_class = service_classes.get(name.decode("utf-8", "replace"))
@@ -89,7 +90,7 @@
 
 
 def _request_id(headers: dict[bytes, bytes]) -> str:
-    """The request's id."""
+    """Returns the request id from the `Req-Id` header."""
     request_id = headers.get(ID_HEADER, b"").decode("latin-1")
     if not REQUEST_ID.fullmatch(request_id):
         raise BadRequestError(HTTPStatus.BAD_REQUEST, "req-id")
@@ -97,7 +98,7 @@
 
 
 def _check_idempotency(http_request: HttpRequest, service_class: ServiceClass) -> None:
-    """Check that a keyed request has its key, and that an idempotent one has no body."""
+    """Check that a keyed request has an idempotency key and that an idempotent request has no body."""
     idempotency = service_class.idempotency
     if idempotency is Idempotency.KEYED and IDEMPOTENCY_KEY_HEADER not in http_request.headers:
         raise BadRequestError(HTTPStatus.BAD_REQUEST, "idempotency-key")
@@ -106,7 +107,7 @@
 
 
 def _deadline_s(http_request: HttpRequest, service_class: ServiceClass) -> float:
-    """The time by which the final response has to leave, on the event loop's clock."""
+    """Returns the time by which the final response has to be sent, on the event loop's clock."""
     client_timeout_ms = service_class.client_timeout_ms
     if DEADLINE_HEADER in http_request.headers:
         longest_ms = MAX_TIMEOUT_FACTOR * client_timeout_ms
@@ -115,16 +116,16 @@
 
 
 def _cost_hint_ms(headers: dict[bytes, bytes]) -> float | None:
-    """The cost that the client expects, None without a hint."""
+    """Returns the cost that the client expects, or None if it gives no hint."""
     if COST_HEADER not in headers:
         return None
     return _number(headers, COST_HEADER, DECIMAL_NUMBER) / US_PER_MS
 
 
 def _number(headers: dict[bytes, bytes], name: bytes, form: re.Pattern[str]) -> float:
-    """The value of a numeric header that is present."""
+    """Returns the value of a numeric header, which has to be present."""
     text = headers[name].decode("latin-1")
-    # Guard: float() also accepts blanks, underscores, signs and words such as "inf"; the pattern does not.
+    # float() also accepts blanks, underscores, signs and words such as "inf"; the pattern rejects them.
     if not form.fullmatch(text):
         raise BadRequestError(HTTPStatus.BAD_REQUEST, name.decode())
     return float(text)
