--- a/tests/discovery_server/cluster.py
+++ b/tests/discovery_server/cluster.py
@@ -16,7 +16,7 @@
 from loadbalancer.discovery_server.server import DiscoveryServer
 from loadbalancer.http.addresses import Address
 from tests.support.loopback import LoopbackServer, Script, close_writer, until
-from tests.support.messages import Message, read_message, reply, targets
+from tests.support.messages import Message, read_message, response_bytes, targets
 
 LIST_NAME = "s"
 HOSTS = "/discovery/hosts"
@@ -29,7 +29,7 @@
 def list_reply(revision: int, *uids: str, complete: bool = True) -> bytes:
     """A response with an endpoint list of ready endpoints."""
     entries = targets(**dict.fromkeys(uids, ENDPOINT))
-    return reply(200, orjson.dumps({"rev": revision, "all": complete, "targets": entries}))
+    return response_bytes(200, orjson.dumps({"rev": revision, "all": complete, "targets": entries}))
 
 
 class Registry(LoopbackServer):
--- a/tests/discovery_server/test_server.py
+++ b/tests/discovery_server/test_server.py
@@ -20,15 +20,15 @@
     list_reply,
 )
 from tests.support.loopback import LoopbackServer, until
-from tests.support.messages import reply
+from tests.support.messages import response_bytes
 from tests.support.proxy_config import config
 
 UNUSABLE_RESPONSES = (
-    reply(200, b"{"),
-    reply(200, b'{"rev": 9, "all": true, "targets": [{"uid": "x"}]}'),
+    response_bytes(200, b"{"),
+    response_bytes(200, b'{"rev": 9, "all": true, "targets": [{"uid": "x"}]}'),
     list_reply(9, "x", complete=False),
     list_reply(9, *map(str, range(9))),
-    reply(503),
+    response_bytes(503),
     b"what?\r\n\r\n",
     None,
 )
--- a/tests/http/test_client_connection.py
+++ b/tests/http/test_client_connection.py
@@ -10,7 +10,7 @@
 
 from loadbalancer.events import AttemptResult
 from tests.support.loopback import LoopbackServer
-from tests.support.messages import read_message, reply
+from tests.support.messages import read_message, response_bytes
 from tests.support.proxy import attempt_result, make_pool
 
 POST = b"POST /post/1 HTTP/1.1\r\nReq-Id: q\r\nContent-Length: 0\r\n\r\n"
@@ -72,9 +72,9 @@
 @pytest.mark.parametrize(
     "behind",
     [
-        pytest.param(reply(), id="second response"),
+        pytest.param(response_bytes(), id="second response"),
         pytest.param(os.urandom(40) + b"\r\n\r\n", id="random bytes"),
     ],
 )
 async def test_bytes_behind_a_complete_response_end_the_connection(behind):
-    assert await attempt_and_pooled_connections(reply() + behind) == (AttemptResult.OK, 0)
+    assert await attempt_and_pooled_connections(response_bytes() + behind) == (AttemptResult.OK, 0)
--- a/tests/proxy/test_attempt_races.py
+++ b/tests/proxy/test_attempt_races.py
@@ -23,7 +23,7 @@
     send_request,
     until,
 )
-from tests.support.messages import read_message, reply, request
+from tests.support.messages import read_message, request, response_bytes
 from tests.support.proxy import (
     GatedConnects,
     ManualServer,
@@ -47,15 +47,15 @@
         await until(lambda: server.links)
         reader, writer = server.links[0]
         await read_message(reader)
-        writer.write(reply(200, b"first"))
+        writer.write(response_bytes(200, b"first"))
         assert (await client.read_response()).body == b"first"
         client.writer.write(request(name="q2"))
         next_message = asyncio.ensure_future(read_message(reader))
         await until(lambda: next_message.done() or len(server.links) == 2)
-        writer.write(reply(200, b"first"))  # the late second response, after q2 has been sent
+        writer.write(response_bytes(200, b"first"))  # the late second response, after q2 has been sent
         if len(server.links) == 2:
             await read_message(server.links[1][0])
-        server.links[-1][1].write(reply(200, b"second"))
+        server.links[-1][1].write(response_bytes(200, b"second"))
         assert (await client.read_response()).body == b"second"
         next_message.cancel()
 
@@ -91,7 +91,7 @@
 
 
 async def test_client_that_disconnects_while_a_retry_connects_is_not_forwarded(can_cancel):
-    full, other = LoopbackServer(always(reply(503, Srv_Declined="1"))), LoopbackServer()
+    full, other = LoopbackServer(always(response_bytes(503, Srv_Declined="1"))), LoopbackServer()
     async with running_proxy(full, other, bounds={"cancel": can_cancel}) as proxy:
         scripted = script_policy(proxy, policy_sending_to("s0", "s1"))
         gated, client = await start_gated_request(proxy, at_once=1)
@@ -190,7 +190,7 @@
 async def test_keyed_retry_that_connects_after_the_deduplication_window_is_not_sent(clock):
     async def fail(_message):
         allow_only(proxy.policy.endpoints, "s1")
-        return reply(500)
+        return response_bytes(500)
 
     first, second = LoopbackServer(fail), LoopbackServer()
     keyed = {"name": "move", "aimMs": 20000.0, "giveUpMs": 30000.0, "effect": "guarded"}
--- a/tests/proxy/test_client_disconnects.py
+++ b/tests/proxy/test_client_disconnects.py
@@ -23,7 +23,7 @@
     disconnect_at_send,
 )
 from tests.support.loopback import HttpClient, LoopbackServer, always, running_proxy, send_request, until
-from tests.support.messages import reply, request
+from tests.support.messages import request, response_bytes
 from tests.support.proxy import policy_sending_to
 from tests.support.scripted_policy import acting_on, script_policy
 from tests.support.slow_reader import LARGE_BODY, slow_reader
@@ -191,7 +191,7 @@
     """asyncio keeps such a connection until all is read: its loss would never be reported."""
     monkeypatch.setattr("loadbalancer.http.request_timeouts.UNREAD_TIMEOUT_S", 0.0)
     monkeypatch.setattr("loadbalancer.http.request_timeouts.LINGER_TIMEOUT_S", 0.0)
-    async with running_proxy(LoopbackServer(always(reply(200, LARGE_BODY)))) as proxy:
+    async with running_proxy(LoopbackServer(always(response_bytes(200, LARGE_BODY)))) as proxy:
         send = policy_sending_to("s0")
         only_first = acting_on(lambda event: send(event) if event.request_id == "first" else [])
         scripted = script_policy(proxy, only_first)
--- a/tests/proxy/test_connection_pool.py
+++ b/tests/proxy/test_connection_pool.py
@@ -9,7 +9,7 @@
 from loadbalancer.events import AttemptResult
 from loadbalancer.http.addresses import socket_address
 from tests.support.loopback import LoopbackServer, StalledBackend, always, until
-from tests.support.messages import reply
+from tests.support.messages import response_bytes
 from tests.support.proxy import attempt_result, open_pool, start_attempt
 from tests.support.sockets import unaccepting_listener
 
@@ -29,9 +29,9 @@
 @pytest.mark.parametrize(
     "response",
     [
-        pytest.param(reply(200, Connection="close"), id="connection close"),
-        pytest.param(reply(200) + b"more", id="extra bytes"),
-        pytest.param(reply(200) * 2, id="second response"),
+        pytest.param(response_bytes(200, Connection="close"), id="connection close"),
+        pytest.param(response_bytes(200) + b"more", id="extra bytes"),
+        pytest.param(response_bytes(200) * 2, id="second response"),
     ],
 )
 async def test_connection_that_closes_or_has_extra_bytes_is_not_reused(response, pool):
--- a/tests/proxy/test_endpoint_updates.py
+++ b/tests/proxy/test_endpoint_updates.py
@@ -16,7 +16,7 @@
     send_request,
     until,
 )
-from tests.support.messages import endpoint_list_response, reply, request, targets
+from tests.support.messages import endpoint_list_response, request, response_bytes, targets
 from tests.support.program import READINESS_REQUEST
 from tests.support.proxy import GatedConnects, policy_sending_to
 from tests.support.proxy_config import config
@@ -34,7 +34,7 @@
     discovery = ScriptedDiscovery(
         endpoint_list_response(5, True, s1=READY),
         endpoint_list_response(6, False, s1=DRAINING, s2=READY),
-        reply(503),
+        response_bytes(503),
     )
     async with running_proxy(LoopbackServer(), discovery=discovery) as proxy:
         # The policy's first action, on the known list, has started the watch.
@@ -60,16 +60,20 @@
 @pytest.mark.parametrize(
     "response",
     [
-        pytest.param(reply(500), id="status 500"),
-        pytest.param(reply(200, b"{"), id="no JSON"),
-        pytest.param(reply(200, b"[]"), id="no object"),
-        pytest.param(reply(200, b'{"rev":2,"all":true,"targets":[{"uid":"x"}]}'), id="fields missing"),
+        pytest.param(response_bytes(500), id="status 500"),
+        pytest.param(response_bytes(200, b"{"), id="no JSON"),
+        pytest.param(response_bytes(200, b"[]"), id="no object"),
         pytest.param(
-            reply(200, b'{"rev":2,"all":true,"targets":[{"uid":"x","endpoint":"nowhere","state":"Ready"}]}'),
+            response_bytes(200, b'{"rev":2,"all":true,"targets":[{"uid":"x"}]}'), id="fields missing"
+        ),
+        pytest.param(
+            response_bytes(
+                200, b'{"rev":2,"all":true,"targets":[{"uid":"x","endpoint":"nowhere","state":"Ready"}]}'
+            ),
             id="bad address",
         ),
         pytest.param(
-            reply(
+            response_bytes(
                 200, b'{"rev":2,"all":true,"targets":[{"uid":"x","endpoint":"127.0.0.1:1","state":"Odd"}]}'
             ),
             id="unknown state",
@@ -98,7 +102,7 @@
 
 async def test_pushed_list_is_watched_from_the_start_and_through_failures(monkeypatch):
     monkeypatch.setattr("loadbalancer.discovery.watch_client.PUSH_BACKOFF_S", 0.01)
-    discovery = ScriptedDiscovery(reply(503), endpoint_list_response(5, True, s9=READY))
+    discovery = ScriptedDiscovery(response_bytes(503), endpoint_list_response(5, True, s9=READY))
     settings = {"registryMode": "push"}
     async with running_proxy(LoopbackServer(), discovery=discovery, settings=settings) as proxy:
         await until(lambda: set(proxy.pool._endpoints) == {"s9"})
--- a/tests/proxy/test_forwarding.py
+++ b/tests/proxy/test_forwarding.py
@@ -18,13 +18,13 @@
     send_request,
     until,
 )
-from tests.support.messages import reply, request
+from tests.support.messages import request, response_bytes
 from tests.support.proxy import policy_sending_to
 from tests.support.scripted_policy import acting_on, script_policy
 
 
 async def test_request_is_forwarded_unchanged_and_its_response_returned(backend, proxy):
-    backend.script = always(reply(200, b"posted", Srv_Load="TEXT inflight=7, queue=3, util=0.61"))
+    backend.script = always(response_bytes(200, b"posted", Srv_Load="TEXT inflight=7, queue=3, util=0.61"))
     response = await send_request(
         proxy, request("post", "q7", b'{"a":1}', Req_Deadline_Ms="9000", Idempotency_Key="k1")
     )
@@ -43,7 +43,7 @@
     monkeypatch.setattr("loadbalancer.proxy.connection_pool.REUSE_DELAY_S", 0.0)
 
     async def script(message):
-        return None if len(backend.seen) == 2 else reply()
+        return None if len(backend.seen) == 2 else response_bytes()
 
     backend.script = script
     scripted = script_policy(proxy, policy_sending_to("s0"))
@@ -55,7 +55,11 @@
 
 async def test_non_idempotent_request_is_retried_after_a_rejection_only():
     async def script(message):
-        return reply(503, Srv_Declined="1") if message.headers["req-id"] == "q1" else reply(500)
+        return (
+            response_bytes(503, Srv_Declined="1")
+            if message.headers["req-id"] == "q1"
+            else response_bytes(500)
+        )
 
     first, second = LoopbackServer(script), LoopbackServer(script)
     async with running_proxy(first, second) as proxy:
@@ -70,7 +74,7 @@
         not_sent = event.result is AttemptResult.NOT_SENT
         return [Fail(event.request_id) if not_sent else Send(event.request_id, "s0")]
 
-    backend.script = always(reply(500))
+    backend.script = always(response_bytes(500))
     scripted = script_policy(proxy, acting_on(lambda event: [Send(event.request_id, "s0")], retry))
     assert (await send_request(proxy, request())).status == 502
     assert len(backend.seen) == 3
--- a/tests/proxy/test_graceful_shutdown.py
+++ b/tests/proxy/test_graceful_shutdown.py
@@ -14,7 +14,7 @@
 from loadbalancer.proxy.graceful_shutdown import shut_down
 from loadbalancer.proxy.proxy import Proxy
 from tests.support.loopback import HttpClient, LoopbackServer, StalledBackend, always, running_proxy, until
-from tests.support.messages import reply, request
+from tests.support.messages import request, response_bytes
 from tests.support.model_time import stop_listener_clock
 from tests.support.proxy import GatedConnects, policy_sending_to
 from tests.support.scripted_policy import script_policy
@@ -142,7 +142,7 @@
     keep_alive, backend, proxy, monkeypatch
 ):
     monkeypatch.setattr("loadbalancer.http.request_timeouts.LINGER_TIMEOUT_S", 0.0)
-    backend.script = always(reply(200, LARGE_BODY))
+    backend.script = always(response_bytes(200, LARGE_BODY))
     async with slow_reader(proxy) as (client, connection):
         client.sendall(request("post", Connection="keep-alive" if keep_alive else "close"))
         await until(lambda: proxy.statistics.responses[200])
--- a/tests/proxy/test_main.py
+++ b/tests/proxy/test_main.py
@@ -16,7 +16,7 @@
 
 from loadbalancer.http.addresses import Address
 from tests.support.loopback import HttpClient, LoopbackServer, ScriptedDiscovery, StalledBackend, until
-from tests.support.messages import Message, endpoint_list_response, reply, request, targets
+from tests.support.messages import Message, endpoint_list_response, request, response_bytes, targets
 from tests.support.program import (
     READINESS_REQUEST,
     free_address,
@@ -91,7 +91,7 @@
     async def respond(message: Message) -> bytes:
         if message.headers["req-id"] == "held":
             await release.wait()
-        return reply()
+        return response_bytes()
 
     address = free_address()
     async with LoopbackServer(respond) as endpoint, ScriptedDiscovery() as discovery:
--- a/tests/proxy/test_policy_events.py
+++ b/tests/proxy/test_policy_events.py
@@ -11,13 +11,13 @@
 from loadbalancer.policy.policy import PERIOD_TIMER
 from loadbalancer.proxy import policy_runner
 from tests.support.loopback import StalledBackend, always, running_proxy, send_request, until
-from tests.support.messages import reply, request
+from tests.support.messages import request, response_bytes
 from tests.support.scripted_policy import script_policy
 
 
 @pytest.mark.parametrize("kind", [IncomingRequest, AttemptOutcome])
 async def test_request_gets_a_response_after_a_policy_fault(kind, backend, proxy):
-    backend.script = always(reply(500))
+    backend.script = always(response_bytes(500))
 
     def act(event):
         if isinstance(event, kind):
--- a/tests/proxy/test_request_parsing.py
+++ b/tests/proxy/test_request_parsing.py
@@ -9,7 +9,7 @@
 from loadbalancer.actions import Reject
 from loadbalancer.events import IncomingRequest
 from tests.support.loopback import HttpClient, StalledBackend, running_proxy, send_request, until
-from tests.support.messages import reply, request
+from tests.support.messages import request, response_bytes
 from tests.support.scripted_policy import acting_on, script_policy
 
 
@@ -78,7 +78,7 @@
 
 
 async def test_pipelined_requests_get_their_responses_in_order(backend, proxy):
-    backend.script = lambda message: asyncio.sleep(0, reply(200, message.body))
+    backend.script = lambda message: asyncio.sleep(0, response_bytes(200, message.body))
     client = await HttpClient.to(proxy)
     client.writer.write(b"".join(request("post", f"q{at}", b"%d" % at) for at in range(5)))
     assert [(await client.read_response()).body for _ in range(5)] == [b"0", b"1", b"2", b"3", b"4"]
--- a/tests/proxy/test_upstream_attempt.py
+++ b/tests/proxy/test_upstream_attempt.py
@@ -10,7 +10,7 @@
 from loadbalancer.events import AttemptResult
 from loadbalancer.http.addresses import socket_address
 from tests.support.loopback import LoopbackServer, always, until
-from tests.support.messages import reply
+from tests.support.messages import response_bytes
 from tests.support.proxy import REQUEST_BYTES, ManualServer, attempt_result, open_pool
 from tests.support.sockets import close_by_reset, unaccepting_listener
 
@@ -32,15 +32,17 @@
 @pytest.mark.parametrize(
     ("response", "expected"),
     [
-        pytest.param(reply(200), AttemptResult.OK, id="200"),
-        pytest.param(reply(500), AttemptResult.ERROR, id="500"),
-        pytest.param(reply(503, Srv_Declined="1"), AttemptResult.REJECTED, id="503 declined"),
-        pytest.param(reply(504, Srv_Declined="1"), AttemptResult.REJECTED, id="504 declined"),
-        pytest.param(reply(503), AttemptResult.ERROR, id="503"),
-        pytest.param(reply(504), AttemptResult.ERROR, id="504"),
-        pytest.param(reply(418), AttemptResult.ERROR, id="418"),
-        pytest.param(reply(200, Srv_Declined="1"), AttemptResult.OK, id="200 declined"),
-        pytest.param(b"HTTP/1.1 100 Continue\r\n\r\n" + reply(200), AttemptResult.OK, id="100 before 200"),
+        pytest.param(response_bytes(200), AttemptResult.OK, id="200"),
+        pytest.param(response_bytes(500), AttemptResult.ERROR, id="500"),
+        pytest.param(response_bytes(503, Srv_Declined="1"), AttemptResult.REJECTED, id="503 declined"),
+        pytest.param(response_bytes(504, Srv_Declined="1"), AttemptResult.REJECTED, id="504 declined"),
+        pytest.param(response_bytes(503), AttemptResult.ERROR, id="503"),
+        pytest.param(response_bytes(504), AttemptResult.ERROR, id="504"),
+        pytest.param(response_bytes(418), AttemptResult.ERROR, id="418"),
+        pytest.param(response_bytes(200, Srv_Declined="1"), AttemptResult.OK, id="200 declined"),
+        pytest.param(
+            b"HTTP/1.1 100 Continue\r\n\r\n" + response_bytes(200), AttemptResult.OK, id="100 before 200"
+        ),
         pytest.param(None, AttemptResult.RESET, id="closed"),
         pytest.param(b"not http at all\r\n\r\n", AttemptResult.RESET, id="no HTTP"),
     ],
--- a/tests/proxy/test_watch_races.py
+++ b/tests/proxy/test_watch_races.py
@@ -20,7 +20,7 @@
 from loadbalancer.http.addresses import Address
 from loadbalancer.proxy.proxy import Proxy
 from tests.support.loopback import running_proxy, until
-from tests.support.messages import endpoint_list_response, reply
+from tests.support.messages import endpoint_list_response, response_bytes
 from tests.support.model_time import in_model_time, model_loop
 from tests.support.proxy_config import config
 
@@ -200,8 +200,8 @@
 @pytest.mark.parametrize(
     "malformed",
     [
-        pytest.param(reply(200, b"{"), id="half a document"),
-        pytest.param(reply(200, b'{"rev":true,"all":1,"targets":{}}'), id="wrong types"),
+        pytest.param(response_bytes(200, b"{"), id="half a document"),
+        pytest.param(response_bytes(200, b'{"rev":true,"all":1,"targets":{}}'), id="wrong types"),
         pytest.param(
             endpoint_list_response(9, True, s9=("a.name.that.is.looked.up:80", "Ready")), id="host name"
         ),
--- a/tests/simulator/test_load_reports.py
+++ b/tests/simulator/test_load_reports.py
@@ -9,7 +9,7 @@
 from loadbalancer.events import LoadReport
 from loadbalancer.platform_settings import parse_load_report
 from tests.support.loopback import LoopbackServer, running_proxy, send_request
-from tests.support.messages import reply, request
+from tests.support.messages import request, response_bytes
 
 MALFORMED_REPORTS = """{"
 %%%
@@ -33,7 +33,7 @@
 
 
 async def test_response_with_a_malformed_load_report_is_forwarded():
-    server = LoopbackServer(lambda message: asyncio.sleep(0, reply(200, Srv_Load='{"')))
+    server = LoopbackServer(lambda message: asyncio.sleep(0, response_bytes(200, Srv_Load='{"')))
     async with running_proxy(server) as proxy:
         assert (await send_request(proxy, request())).status == 200
         assert proxy.policy.endpoints.by_name["s0"].reported_queue == 0.0
--- a/tests/support/disconnects.py
+++ b/tests/support/disconnects.py
@@ -13,7 +13,7 @@
 from loadbalancer.proxy.proxy import Proxy
 from tests.support.builders import allow_only
 from tests.support.loopback import HttpClient, LoopbackServer, send_request, until
-from tests.support.messages import Message, reply, request
+from tests.support.messages import Message, request, response_bytes
 from tests.support.sockets import close_by_reset
 
 ESTABLISHED, FIN_WAIT_1 = 1, 4  # states of Linux's TCP
@@ -124,9 +124,13 @@
 
     async def _respond(self, message: Message) -> bytes | None:
         if message.headers["req-id"] in ("warm0", "warm1") or len(self.seen) > 1:
-            return reply()
-        responses = {"declined": reply(503, Srv_Declined="1"), "error": reply(500), "reset": None}
-        return responses.get(self._first_result, reply())
+            return response_bytes()
+        responses = {
+            "declined": response_bytes(503, Srv_Declined="1"),
+            "error": response_bytes(500),
+            "reset": None,
+        }
+        return responses.get(self._first_result, response_bytes())
 
     def prepare(self, proxy: Proxy) -> None:
         """If the result is "refused", have the first attempt use a new connection, which is refused."""
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -11,7 +11,7 @@
 
 from loadbalancer.http.addresses import Address
 from loadbalancer.proxy.proxy import Proxy
-from tests.support.messages import Message, read_message, reply, targets
+from tests.support.messages import Message, read_message, response_bytes, targets
 from tests.support.proxy_config import config
 
 WAIT_LIMIT_S = 20.0  # below the time-out of a test, so that the failure shows which condition stayed false
@@ -45,7 +45,7 @@
     """
 
     def __init__(self, script: Script | None = None) -> None:
-        self.script = script or always(reply())
+        self.script = script or always(response_bytes())
         self.seen: list[Message] = []  # all requests, in the order of arrival
         self.connections = 0  # accepted since the start
         self.readers: list[asyncio.StreamReader] = []
@@ -131,7 +131,7 @@
 
     async def _wait(self, _message: Message) -> bytes:
         await self.release.wait()
-        return reply()
+        return response_bytes()
 
 
 class ScriptedDiscovery(LoopbackServer):
--- a/tests/support/messages.py
+++ b/tests/support/messages.py
@@ -36,7 +36,7 @@
     )
 
 
-def reply(status: int = 200, body: bytes = b"done", **headers: str) -> bytes:
+def response_bytes(status: int = 200, body: bytes = b"done", **headers: str) -> bytes:
     """A response in bytes; an underscore in a header's keyword stands for a hyphen."""
     lines = [f"HTTP/1.1 {status} Word", f"Content-Length: {len(body)}"]
     lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
@@ -44,7 +44,7 @@
 
 
 def request(kind: str = "read", name: str = "q1", body: bytes = b"", **headers: str) -> bytes:
-    """A request in bytes, of a service class and with an id; header keywords are as in `reply`."""
+    """A request in bytes, of a service class and with an id; header keywords are as in `response_bytes`."""
     method = "GET" if kind == "read" else "POST"
     lines = [f"{method} /{kind}/7f3a?x=1 HTTP/1.1", "Host: service.internal", f"Req-Id: {name}"]
     if kind != "read":
@@ -63,4 +63,4 @@
 
 def endpoint_list_response(revision: int, complete: bool, **states: tuple[str, str]) -> bytes:
     """Discovery's response with an endpoint list, complete or of changes."""
-    return reply(200, orjson.dumps({"rev": revision, "all": complete, "targets": targets(**states)}))
+    return response_bytes(200, orjson.dumps({"rev": revision, "all": complete, "targets": targets(**states)}))
--- a/tests/support/model_time.py
+++ b/tests/support/model_time.py
@@ -16,7 +16,7 @@
 
 from loadbalancer.http.addresses import Address
 from loadbalancer.proxy.proxy import Proxy
-from tests.support.messages import endpoint_list_response, reply
+from tests.support.messages import endpoint_list_response, response_bytes
 
 _Result = TypeVar("_Result")
 
@@ -161,7 +161,9 @@
         elif fault == "half":
             transport.write(self.list_response(complete=True)[:-20])
         elif fault == "unreadable":
-            transport.write(self._rng.choice((reply(503), reply(200, b"{"), b"what?\r\n\r\n")))
+            transport.write(
+                self._rng.choice((response_bytes(503), response_bytes(200, b"{"), b"what?\r\n\r\n"))
+            )
         elif not fault and since < self.revision:
             transport.write(self.list_response(complete=True))
         elif not fault:
