--- a/tests/discovery/test_watch_client.py
+++ b/tests/discovery/test_watch_client.py
@@ -52,7 +52,9 @@
         watch = WatchClient(address, 1, options, lambda kind, _: kinds.append(kind))
         with contextlib.closing(watch):
             watch.start()
-            await until(lambda: len(discovery.seen) == len(revisions))
-        queries = [message.first[1].partition("?since=")[2].partition("&")[0] for message in discovery.seen]
+            await until(lambda: len(discovery.received) == len(revisions))
+        queries = [
+            message.first[1].partition("?since=")[2].partition("&")[0] for message in discovery.received
+        ]
     assert queries == revisions
     assert " ".join(kind.value for kind in kinds) == updates
--- a/tests/http/test_request_validation.py
+++ b/tests/http/test_request_validation.py
@@ -64,7 +64,7 @@
 )
 async def test_invalid_request_gets_400_and_is_not_forwarded(backend, proxy, data):
     assert (await send_request(proxy, data)).status == 400
-    assert (backend.seen, proxy.requests.by_id) == ([], {})
+    assert (backend.received, proxy.requests.by_id) == ([], {})
 
 
 async def test_request_id_in_use_gets_400_and_does_not_affect_its_request():
@@ -72,7 +72,7 @@
     async with running_proxy(server) as proxy:
         scripted = script_policy(proxy, acting_on(lambda event: [Send(event.request_id, "s0")]))
         first = asyncio.create_task(send_request(proxy, request("post", "q1")))
-        await until(lambda: server.seen)
+        await until(lambda: server.received)
         assert (await send_request(proxy, request("post", "q1"))).status == 400
         assert (
             len(proxy.requests.by_id),
@@ -87,7 +87,7 @@
     more = {"Connection": "Srv-Load", "Srv_Load": "TEXT queue=0", "Cookie": "c", "Req_Owner": "acme"}
     assert (await send_request(proxy, request("post", "q1", b"ab", **more))).status == 200
     names = {"host", "req-id", "req-owner", "req-deadline-ms", "content-length"}
-    assert set(backend.seen[0].headers) == names
+    assert set(backend.received[0].headers) == names
 
 
 def test_each_forwarded_header_may_occur_only_once():
--- a/tests/http/test_server_connection.py
+++ b/tests/http/test_server_connection.py
@@ -20,7 +20,7 @@
 async def test_pipelined_requests_over_the_limit_get_429(backend, proxy):
     client = await HttpClient.to(proxy)
     client.writer.write(b"".join(request("post", f"q{number}") for number in range(500)))
-    await until(lambda: backend.seen)
+    await until(lambda: backend.received)
     (connection,) = proxy.listener.connections
     assert len(connection._parser.requests) == MAX_PIPELINED_REQUESTS
     backend.release.set()
@@ -32,10 +32,10 @@
 async def test_disconnect_behind_a_pipelined_request_cancels_both(backend, proxy):
     client = await HttpClient.to(proxy)
     client.writer.write(request("post", "q1") + request("post", "q2"))
-    await until(lambda: backend.seen)
+    await until(lambda: backend.received)
     client.writer.close()
     await until(lambda: not proxy.requests.by_id)
-    assert len(backend.seen) == 1
+    assert len(backend.received) == 1
 
 
 async def test_lost_connections_are_freed_without_the_garbage_collector(backend, proxy):
--- a/tests/proxy/test_attempt_races.py
+++ b/tests/proxy/test_attempt_races.py
@@ -100,7 +100,7 @@
         gated.gate.set()
         await until(lambda: not proxy.pool._connecting)
         assert scripted.attempt_results == [AttemptResult.REJECTED, AttemptResult.NOT_SENT]
-        assert other.seen == []
+        assert other.received == []
         assert not proxy.requests.by_id
 
 
@@ -109,7 +109,7 @@
     async with running_proxy(server, bounds={"cancel": can_cancel}) as proxy:
         client = await HttpClient.to(proxy)
         client.writer.write(request(name="first") + request(name="second"))
-        await until(lambda: server.seen)
+        await until(lambda: server.received)
         client.writer.close()
         await until(lambda: proxy.requests.open_count == 0)
         server.release.set()
@@ -171,7 +171,7 @@
         gated.connect_now = connect_and_disconnect
         gated.gate.set()
         await until(lambda: not proxy.requests.by_id and not proxy.pool.size)
-        assert server.seen == []
+        assert server.received == []
 
 
 async def test_cancelled_attempt_has_ended_before_the_next_one_is_sent():
@@ -205,4 +205,4 @@
         gated.gate.set()
         assert (await response).status == 502
         await until(lambda: not proxy.pool._connecting)
-        assert second.seen == []
+        assert second.received == []
--- a/tests/proxy/test_client_disconnects.py
+++ b/tests/proxy/test_client_disconnects.py
@@ -51,7 +51,7 @@
     await until(lambda: has_ended_all(proxy))
     assert not proxy.policy.requests.open_requests
     assert (await send_request(proxy, request("post", "next"))).status == 200
-    assert sorted(backends.seen) == sorted([*seen, "next"])
+    assert sorted(backends.request_ids) == sorted([*seen, "next"])
     statistics = proxy.statistics
     assert statistics.client_disconnects == 1
     assert statistics.attempts["cancelled"] == 0
@@ -184,7 +184,7 @@
         await until(lambda: not proxy.requests.by_id and not proxy.listener.connections)
         script_policy(proxy, policy_sending_to("s0"))
         assert (await send_request(proxy, request("post", "next"))).status == 200
-        assert (proxy.requests.open_count, backends.seen) == (0, ["next"])
+        assert (proxy.requests.open_count, backends.request_ids) == (0, ["next"])
 
 
 async def test_client_that_ends_its_sending_and_reads_no_response_is_disconnected(monkeypatch):
@@ -238,5 +238,5 @@
             assert (await http_client.read_response()).status == 200
             assert client.disconnected
             assert (await http_client.send(SECOND_REQUEST[sent_bytes:])).status == 200
-            assert sorted(backends.seen) == ["first", "second"]
+            assert sorted(backends.request_ids) == ["first", "second"]
             assert proxy.statistics.client_disconnects == 0
--- a/tests/proxy/test_connection_limits.py
+++ b/tests/proxy/test_connection_limits.py
@@ -34,11 +34,11 @@
     server = StalledBackend()
     async with running_proxy(server, bounds={"maxOpen": 1}) as proxy:
         first = asyncio.create_task(send_request(proxy, request(name="q1")))
-        await until(lambda: server.seen)
+        await until(lambda: server.received)
         assert (await send_request(proxy, request(name="q2"))).status == 503
         server.release.set()
         assert (await first).status == 200
-        assert len(server.seen) == 1
+        assert len(server.received) == 1
 
 
 async def test_flood_of_connections_is_accepted_up_to_the_downstream_limit(proxy):
--- a/tests/proxy/test_connection_pool.py
+++ b/tests/proxy/test_connection_pool.py
@@ -95,7 +95,7 @@
 async def test_attempt_in_flight_as_its_endpoint_drains_still_gets_its_response(pool, stalled_backend):
     pool.add("s", stalled_backend.address)
     outcome = asyncio.create_task(attempt_result(pool))
-    await until(lambda: stalled_backend.seen)
+    await until(lambda: stalled_backend.received)
     pool.remove("s")
     stalled_backend.release.set()
     assert await outcome is AttemptResult.OK
--- a/tests/proxy/test_endpoint_updates.py
+++ b/tests/proxy/test_endpoint_updates.py
@@ -42,7 +42,7 @@
         await until(lambda: len(scripted.events_of(MembershipUpdate)) == 3)
         assert update_kinds(scripted) == [UpdateKind.COMPLETE, UpdateKind.DELTA, UpdateKind.UNAVAILABLE]
         assert set(proxy.pool._endpoints) == {"s2"}
-        queries = [message.first[1].partition("?")[2] for message in discovery.seen]
+        queries = [message.first[1].partition("?")[2] for message in discovery.received]
         assert [query.partition("&")[0] for query in queries] == ["since=1", "since=5", "since=6"]
         assert discovery.connections == 1
 
@@ -95,8 +95,8 @@
     discovery = ScriptedDiscovery()
     settings = {"invariants": {"askWithinMs": 100.0}}
     async with running_proxy(LoopbackServer(), discovery=discovery, settings=settings) as proxy:
-        await until(lambda: len(discovery.seen) >= 2)
-        assert discovery.seen[0].first[1].endswith("&timeout_ms=50")
+        await until(lambda: len(discovery.received) >= 2)
+        assert discovery.received[0].first[1].endswith("&timeout_ms=50")
         assert proxy.statistics.endpoint_lists[UpdateKind.UNAVAILABLE] >= 1
 
 
@@ -119,7 +119,7 @@
     proxy.membership.apply(UpdateKind.DELTA, EndpointList(9, False, draining, {"s0": Address("", 1)}))
     assert scripted.attempt_results == [AttemptResult.CONNECT_FAILED] * 2
     assert (await client.read_response()).status == 502
-    assert backend.seen == []
+    assert backend.received == []
 
 
 async def test_ready_only_with_an_endpoint_to_send_to():
--- a/tests/proxy/test_forwarding.py
+++ b/tests/proxy/test_forwarding.py
@@ -29,7 +29,7 @@
         proxy, request("post", "q7", b'{"a":1}', Req_Deadline_Ms="9000", Idempotency_Key="k1")
     )
     assert (response.status, response.body) == (200, b"posted")
-    seen = backend.seen[0]
+    seen = backend.received[0]
     assert seen.first == ["POST", "/post/7f3a?x=1", "HTTP/1.1"]
     assert seen.body == b'{"a":1}'
     assert (seen.headers["req-id"], seen.headers["idempotency-key"]) == ("q7", "k1")
@@ -43,13 +43,13 @@
     monkeypatch.setattr("loadbalancer.proxy.connection_pool.REUSE_DELAY_S", 0.0)
 
     async def script(message):
-        return None if len(backend.seen) == 2 else response_bytes()
+        return None if len(backend.received) == 2 else response_bytes()
 
     backend.script = script
     scripted = script_policy(proxy, policy_sending_to("s0"))
     assert (await send_request(proxy, request(kind, "q1"))).status == 200
     assert (await send_request(proxy, request(kind, "q2"))).status == 502  # on the pooled connection
-    assert (backend.connections, len(backend.seen)) == (1, 2)
+    assert (backend.connections, len(backend.received)) == (1, 2)
     assert scripted.attempt_results == [AttemptResult.OK, AttemptResult.RESET]
 
 
@@ -64,9 +64,9 @@
     first, second = LoopbackServer(script), LoopbackServer(script)
     async with running_proxy(first, second) as proxy:
         assert (await send_request(proxy, request("post", "q1"))).status == 503
-        assert len(first.seen) == len(second.seen) == 1
+        assert len(first.received) == len(second.received) == 1
         assert (await send_request(proxy, request("post", "q2"))).status == 502
-        assert len(first.seen) + len(second.seen) == 3
+        assert len(first.received) + len(second.received) == 3
 
 
 async def test_attempt_past_the_maximum_or_of_an_ended_request_is_not_sent(backend, proxy):
@@ -77,7 +77,7 @@
     backend.script = always(response_bytes(500))
     scripted = script_policy(proxy, acting_on(lambda event: [Send(event.request_id, "s0")], retry))
     assert (await send_request(proxy, request())).status == 502
-    assert len(backend.seen) == 3
+    assert len(backend.received) == 3
     outcomes = scripted.events_of(AttemptOutcome)
     assert [event.attempt for event in outcomes] == [0, 1, 2, 3]
     assert outcomes[-1].result is AttemptResult.NOT_SENT
@@ -86,7 +86,7 @@
     assert [(event.result, event.done) for event in scripted.events_of(AttemptOutcome)] == [
         (AttemptResult.NOT_SENT, True)
     ]
-    assert len(backend.seen) == 3
+    assert len(backend.received) == 3
 
 
 async def test_attempt_of_a_disconnected_client_still_has_its_outcome():
@@ -94,7 +94,7 @@
     async with running_proxy(server) as proxy:
         client = await HttpClient.to(proxy)
         client.writer.write(request())
-        await until(lambda: server.seen)
+        await until(lambda: server.received)
         assert proxy.policy.endpoints.by_name["s0"].in_flight == 1.0
         client.writer.close()
         await until(lambda: not proxy.requests.by_id)
@@ -122,7 +122,7 @@
         )
         scripted = script_policy(proxy, send)
         response = asyncio.create_task(send_request(proxy, request(Req_Deadline_Ms="10000")))
-        await until(lambda: server.seen)
+        await until(lambda: server.received)
         while not response.done():
             clock.advance(0.01)
             await asyncio.sleep(0)
--- a/tests/proxy/test_graceful_shutdown.py
+++ b/tests/proxy/test_graceful_shutdown.py
@@ -53,7 +53,7 @@
     """A client whose request `held` waits for its response."""
     client = await HttpClient.to(proxy)
     client.writer.write(request("read", "held"))
-    await until(lambda: server.seen)
+    await until(lambda: server.received)
     return client
 
 
@@ -65,7 +65,7 @@
         safe, unsafe = await HttpClient.to(proxy), await HttpClient.to(proxy)
         safe.writer.write(request("read", "safe"))
         unsafe.writer.write(request("post", "unsafe"))
-        await until(lambda: len(hung.seen) == 2)
+        await until(lambda: len(hung.received) == 2)
         async with shutting_down(proxy), safe, unsafe:
             assert ((await safe.read_response()).status, (await unsafe.read_response()).status) == (503, 502)
             assert await safe.reader.read() == b""
@@ -81,7 +81,7 @@
         assert (await client.read_response()).status == 503
         gated.gate.set()
     await until(lambda: not proxy.pool.size)
-    assert backend.seen == []
+    assert backend.received == []
 
 
 @pytest.mark.usefixtures("short_shutdown")
--- a/tests/proxy/test_main.py
+++ b/tests/proxy/test_main.py
@@ -117,7 +117,7 @@
         for client in (busy, idle):
             assert (await client.send(READINESS_REQUEST)).status == 200
         busy.writer.write(request(name="held"))
-        await until(lambda: proxy.endpoint.seen)
+        await until(lambda: proxy.endpoint.received)
         proxy.program.send_signal(signal.SIGTERM)
         assert (await wait_until_not_ready(proxy.address)).status == 503
         response = await idle.send(request(name="kept"))  # on a connection from before the signal
@@ -136,14 +136,14 @@
     async with ScriptedDiscovery(changes) as first, ScriptedDiscovery() as second:
         path = write_config(tmp_path, config_document(first.endpoint))
         with running_program(path) as program:
-            await until(lambda: len(first.seen) == 2)
+            await until(lambda: len(first.received) == 2)
             path.write_text("{")
             program.send_signal(signal.SIGHUP)
             await wait_for_log(program, "bad configuration")
             write_config(tmp_path, config_document(second.endpoint))
             program.send_signal(signal.SIGHUP)
-            await until(lambda: second.seen)
-            assert "since=7&" in second.seen[0].first[1]  # the proxy keeps the list that it has
+            await until(lambda: second.received)
+            assert "since=7&" in second.received[0].first[1]  # the proxy keeps the list that it has
             await until(lambda: all(reader.at_eof() for reader in first.readers))  # the old watch is over
             program.send_signal(signal.SIGTERM)
             await asyncio.to_thread(program.communicate)
@@ -168,15 +168,15 @@
     async with StalledBackend() as hung, ScriptedDiscovery() as first, ScriptedDiscovery() as second:
         document = config_document(first.endpoint, known=targets(s0=(hung.endpoint, "Ready")))
         with running_program(write_config(tmp_path, document, address)) as program:
-            await until(lambda: first.seen)  # the proxy listens before it polls
+            await until(lambda: first.received)  # the proxy listens before it polls
             async with await HttpClient.connect(address) as client:
                 client.writer.write(request(name="held"))
-                await until(lambda: hung.seen)
+                await until(lambda: hung.received)
                 program.send_signal(signal.SIGTERM)
                 await wait_until_not_ready(address)
                 write_config(tmp_path, document | {"discovery": second.endpoint}, address)
                 program.send_signal(signal.SIGHUP)
-                await until(lambda: second.seen)
+                await until(lambda: second.received)
                 # At the end the proxy gives the request up; it can be sent elsewhere.
                 assert (await client.read_response()).status == 503
             assert await asyncio.to_thread(program.wait) == 0
--- a/tests/proxy/test_policy_events.py
+++ b/tests/proxy/test_policy_events.py
@@ -55,11 +55,11 @@
 
 async def complete_batch(clock, proxy, backend, latency_s):
     """Have a batch of requests served with this latency, and end the policy's period."""
-    seen = len(backend.seen)
+    seen = len(backend.received)
     backend.release.clear()
     requests = [request("read", f"q{seen + index}") for index in range(BATCH_SIZE)]
     responses = asyncio.gather(*(send_request(proxy, data) for data in requests))
-    await until(lambda: len(backend.seen) == seen + BATCH_SIZE)
+    await until(lambda: len(backend.received) == seen + BATCH_SIZE)
     clock.advance(latency_s)
     backend.release.set()
     assert [response.status for response in await responses] == [200] * BATCH_SIZE
--- a/tests/proxy/test_request_parsing.py
+++ b/tests/proxy/test_request_parsing.py
@@ -63,18 +63,18 @@
 async def test_body_of_64_kib_passes_with_a_length_and_chunked(backend, proxy):
     assert (await send_request(proxy, request("post", "q1", b"x" * 65536))).status == 200
     assert (await send_request(proxy, CHUNKED + b"3\r\nabc\r\n0\r\n\r\n")).status == 200
-    assert [len(message.body) for message in backend.seen] == [65536, 3]
+    assert [len(message.body) for message in backend.received] == [65536, 3]
 
 
 async def test_request_id_that_is_pending_is_not_sent_twice():
     server = StalledBackend()
     async with running_proxy(server) as proxy:
         first = asyncio.create_task(send_request(proxy, request("post", "q1")))
-        await until(lambda: server.seen)
+        await until(lambda: server.received)
         assert (await send_request(proxy, request("post", "q1"))).status == 400
         server.release.set()
         assert (await first).status == 200
-        assert len(server.seen) == 1
+        assert len(server.received) == 1
 
 
 async def test_pipelined_requests_get_their_responses_in_order(backend, proxy):
--- a/tests/proxy/test_upstream_attempt.py
+++ b/tests/proxy/test_upstream_attempt.py
@@ -51,7 +51,7 @@
     async with LoopbackServer(always(response)) as server:
         pool.add("s", server.address)
         assert await attempt_result(pool) is expected
-        assert len(server.seen) == 1  # no request is ever sent a second time by itself
+        assert len(server.received) == 1  # no request is ever sent a second time by itself
 
 
 async def test_truncated_response_is_a_reset(pool):
--- a/tests/support/disconnects.py
+++ b/tests/support/disconnects.py
@@ -108,7 +108,7 @@
         self.servers = (LoopbackServer(self._respond), LoopbackServer(self._respond))
 
     @property
-    def seen(self) -> list[str]:
+    def request_ids(self) -> list[str]:
         """The ids of the requests that have reached an endpoint, without those of `open_connections`."""
         ids = [request_id for server in self.servers for request_id in server.request_ids]
         return [request_id for request_id in ids if not request_id.startswith("warm")]
@@ -123,7 +123,7 @@
         proxy.statistics.reset()
 
     async def _respond(self, message: Message) -> bytes | None:
-        if message.headers["req-id"] in ("warm0", "warm1") or len(self.seen) > 1:
+        if message.headers["req-id"] in ("warm0", "warm1") or len(self.request_ids) > 1:
             return response_bytes()
         responses = {
             "declined": response_bytes(503, Srv_Declined="1"),
--- a/tests/support/discovery_outage.py
+++ b/tests/support/discovery_outage.py
@@ -62,7 +62,7 @@
         self._hang.close()
         self._socket.setblocking(False)
         await self._discovery.start(self._socket)
-        await until(lambda: any("since=2&" in message.first[1] for message in self._discovery.seen))
+        await until(lambda: any("since=2&" in message.first[1] for message in self._discovery.received))
 
 
 @dataclass(frozen=True)
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -46,7 +46,7 @@
 
     def __init__(self, script: Script | None = None) -> None:
         self.script = script or always(response_bytes())
-        self.seen: list[Message] = []  # all requests, in the order of arrival
+        self.received: list[Message] = []  # all requests, in the order of arrival
         self.connections = 0  # accepted since the start
         self.readers: list[asyncio.StreamReader] = []
         self._writers: list[asyncio.StreamWriter] = []
@@ -79,7 +79,7 @@
     @property
     def request_ids(self) -> list[str]:
         """The ids of all requests, in the order of arrival."""
-        return [message.headers["req-id"] for message in self.seen]
+        return [message.headers["req-id"] for message in self.received]
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serve one connection, until the server stops at the latest."""
@@ -98,7 +98,7 @@
         with contextlib.closing(writer):
             while True:
                 message = await read_message(reader)
-                self.seen.append(message)
+                self.received.append(message)
                 response = await self.script(message)
                 if response is None:
                     return
