--- a/tests/discovery/test_watch_client.py
+++ b/tests/discovery/test_watch_client.py
@@ -54,7 +54,7 @@
             watch.start()
             await until(lambda: len(discovery.received) == len(revisions))
         queries = [
-            message.first[1].partition("?since=")[2].partition("&")[0] for message in discovery.received
+            message.start_line[1].partition("?since=")[2].partition("&")[0] for message in discovery.received
         ]
     assert queries == revisions
     assert " ".join(kind.value for kind in kinds) == updates
--- a/tests/discovery_server/cluster.py
+++ b/tests/discovery_server/cluster.py
@@ -50,7 +50,7 @@
 
     async def respond(self, message: Message) -> bytes:
         """The response to a request: at once, or after the next change for a client that is up to date."""
-        query = dict(part.split("=") for part in message.first[1].partition("?")[2].split("&") if part)
+        query = dict(part.split("=") for part in message.start_line[1].partition("?")[2].split("&") if part)
         if query.get("since") == str(self.revision):
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(int(query["timeout_ms"]) / 1000.0):
--- a/tests/proxy/test_endpoint_updates.py
+++ b/tests/proxy/test_endpoint_updates.py
@@ -42,7 +42,7 @@
         await until(lambda: len(scripted.events_of(MembershipUpdate)) == 3)
         assert update_kinds(scripted) == [UpdateKind.COMPLETE, UpdateKind.DELTA, UpdateKind.UNAVAILABLE]
         assert set(proxy.pool._endpoints) == {"s2"}
-        queries = [message.first[1].partition("?")[2] for message in discovery.received]
+        queries = [message.start_line[1].partition("?")[2] for message in discovery.received]
         assert [query.partition("&")[0] for query in queries] == ["since=1", "since=5", "since=6"]
         assert discovery.connections == 1
 
@@ -96,7 +96,7 @@
     settings = {"invariants": {"askWithinMs": 100.0}}
     async with running_proxy(LoopbackServer(), discovery=discovery, settings=settings) as proxy:
         await until(lambda: len(discovery.received) >= 2)
-        assert discovery.received[0].first[1].endswith("&timeout_ms=50")
+        assert discovery.received[0].start_line[1].endswith("&timeout_ms=50")
         assert proxy.statistics.endpoint_lists[UpdateKind.UNAVAILABLE] >= 1
 
 
--- a/tests/proxy/test_forwarding.py
+++ b/tests/proxy/test_forwarding.py
@@ -30,7 +30,7 @@
     )
     assert (response.status, response.body) == (200, b"posted")
     seen = backend.received[0]
-    assert seen.first == ["POST", "/post/7f3a?x=1", "HTTP/1.1"]
+    assert seen.start_line == ["POST", "/post/7f3a?x=1", "HTTP/1.1"]
     assert seen.body == b'{"a":1}'
     assert (seen.headers["req-id"], seen.headers["idempotency-key"]) == ("q7", "k1")
     assert 0 < int(seen.headers["req-deadline-ms"]) < 9000
--- a/tests/proxy/test_main.py
+++ b/tests/proxy/test_main.py
@@ -143,7 +143,7 @@
             write_config(tmp_path, config_document(second.endpoint))
             program.send_signal(signal.SIGHUP)
             await until(lambda: second.received)
-            assert "since=7&" in second.received[0].first[1]  # the proxy keeps the list that it has
+            assert "since=7&" in second.received[0].start_line[1]  # the proxy keeps the list that it has
             await until(lambda: all(reader.at_eof() for reader in first.readers))  # the old watch is over
             program.send_signal(signal.SIGTERM)
             await asyncio.to_thread(program.communicate)
--- a/tests/support/discovery_outage.py
+++ b/tests/support/discovery_outage.py
@@ -53,7 +53,7 @@
         self._socket.close()
 
     async def _list(self, message: Message) -> bytes:
-        if "since=1&" not in message.first[1]:
+        if "since=1&" not in message.start_line[1]:
             await asyncio.Event().wait()
         return endpoint_list_response(2, True, new=(self.new_endpoint.endpoint, "Ready"))
 
@@ -62,7 +62,7 @@
         self._hang.close()
         self._socket.setblocking(False)
         await self._discovery.start(self._socket)
-        await until(lambda: any("since=2&" in message.first[1] for message in self._discovery.received))
+        await until(lambda: any("since=2&" in message.start_line[1] for message in self._discovery.received))
 
 
 @dataclass(frozen=True)
--- a/tests/support/messages.py
+++ b/tests/support/messages.py
@@ -13,14 +13,14 @@
 class Message:
     """A parsed request or response."""
 
-    first: list[str]  # the words of its first line
+    start_line: list[str]  # its words
     headers: dict[str, str]  # by lower-case name
     body: bytes
 
     @property
     def status(self) -> int:
         """The status of a response."""
-        return int(self.first[1])
+        return int(self.start_line[1])
 
 
 async def read_message(reader: asyncio.StreamReader) -> Message:
