--- a/tests/proxy/test_attempt_races.py
+++ b/tests/proxy/test_attempt_races.py
@@ -25,7 +25,7 @@
 )
 from tests.support.messages import read_message, request, response_bytes
 from tests.support.proxy import (
-    GatedConnects,
+    BlockedConnects,
     ManualServer,
     make_pool,
     policy_sending_to,
@@ -44,29 +44,29 @@
         script_policy(proxy, policy_sending_to("s0"))
         client = await HttpClient.to(proxy)
         client.writer.write(request(name="q1"))
-        await until(lambda: server.links)
-        reader, writer = server.links[0]
+        await until(lambda: server.streams)
+        reader, writer = server.streams[0]
         await read_message(reader)
         writer.write(response_bytes(200, b"first"))
         assert (await client.read_response()).body == b"first"
         client.writer.write(request(name="q2"))
         next_message = asyncio.ensure_future(read_message(reader))
-        await until(lambda: next_message.done() or len(server.links) == 2)
+        await until(lambda: next_message.done() or len(server.streams) == 2)
         writer.write(response_bytes(200, b"first"))  # the late second response, after q2 has been sent
-        if len(server.links) == 2:
-            await read_message(server.links[1][0])
-        server.links[-1][1].write(response_bytes(200, b"second"))
+        if len(server.streams) == 2:
+            await read_message(server.streams[1][0])
+        server.streams[-1][1].write(response_bytes(200, b"second"))
         assert (await client.read_response()).body == b"second"
         next_message.cancel()
 
 
-async def start_gated_request(proxy: Proxy, at_once: int = 0) -> tuple[GatedConnects, HttpClient]:
-    """Send the request `left`, and wait until an attempt connects after the first `at_once` attempts."""
-    gated = GatedConnects(proxy, at_once)
+async def start_blocked_request(proxy: Proxy, allowed: int = 0) -> tuple[BlockedConnects, HttpClient]:
+    """Send the request `left`, and wait until an attempt connects after the first `allowed` attempts."""
+    blocked = BlockedConnects(proxy, allowed)
     client = await HttpClient.to(proxy)
     client.writer.write(request("post", "left"))
-    await until(lambda: gated.connects > at_once)
-    return gated, client
+    await until(lambda: blocked.connect_count > allowed)
+    return blocked, client
 
 
 @pytest.mark.parametrize(
@@ -79,10 +79,10 @@
 async def test_client_that_disconnects_while_its_attempt_connects_is_not_forwarded(can_cancel, disconnect):
     server = LoopbackServer()
     async with running_proxy(server, bounds={"cancel": can_cancel}) as proxy:
-        gated, client = await start_gated_request(proxy)
+        blocked, client = await start_blocked_request(proxy)
         disconnect(client)
         await until(lambda: proxy.requests.open_count == 0)
-        gated.gate.set()
+        blocked.unblock.set()
         await until(lambda: not proxy.pool._connecting)
         assert (await send_request(proxy, request("post", "next"))).status == 200
         assert server.request_ids == ["next"]
@@ -94,10 +94,10 @@
     full, other = LoopbackServer(always(response_bytes(503, Srv_Declined="1"))), LoopbackServer()
     async with running_proxy(full, other, bounds={"cancel": can_cancel}) as proxy:
         scripted = script_policy(proxy, policy_sending_to("s0", "s1"))
-        gated, client = await start_gated_request(proxy, at_once=1)
+        blocked, client = await start_blocked_request(proxy, allowed=1)
         client.writer.close()
         await until(lambda: scripted.events_of(ClientDisconnected))
-        gated.gate.set()
+        blocked.unblock.set()
         await until(lambda: not proxy.pool._connecting)
         assert scripted.attempt_results == [AttemptResult.REJECTED, AttemptResult.NOT_SENT]
         assert other.received == []
@@ -150,15 +150,15 @@
         client.writer.close()
         await until(lambda: scripted.events_of(ClientDisconnected))
         assert scripted.attempt_results == [AttemptResult.NOT_SENT]
-        reader, _ = server.links[0]
+        reader, _ = server.streams[0]
         assert b"left" not in await reader.read()
 
 
 async def test_client_that_disconnects_as_its_attempt_has_connected_is_not_forwarded():
     server = LoopbackServer()
     async with running_proxy(server, bounds={"cancel": False}) as proxy:
-        gated, _ = await start_gated_request(proxy)
-        connect = gated.connect_now
+        blocked, _ = await start_blocked_request(proxy)
+        connect = blocked.connect_now
 
         async def connect_and_disconnect(address):
             connection = await connect(address)
@@ -168,8 +168,8 @@
             downstream.connection_lost(None)
             return connection
 
-        gated.connect_now = connect_and_disconnect
-        gated.gate.set()
+        blocked.connect_now = connect_and_disconnect
+        blocked.unblock.set()
         await until(lambda: not proxy.requests.by_id and not proxy.pool.size)
         assert server.received == []
 
@@ -196,13 +196,13 @@
     keyed = {"name": "move", "aimMs": 20000.0, "giveUpMs": 30000.0, "effect": "guarded"}
     settings = {"categories": [keyed | {"memorySpanMs": 1000.0 * DEDUPLICATION_WINDOW_S}]}
     async with running_proxy(first, second, settings=settings) as proxy:
-        gated = GatedConnects(proxy, at_once=1)
+        blocked = BlockedConnects(proxy, allowed=1)
         allow_only(proxy.policy.endpoints, "s0")
         client = await HttpClient.to(proxy)
         response = asyncio.ensure_future(client.send(request("move", "q1", Idempotency_Key="k")))
-        await until(lambda: gated.connects == 2)
+        await until(lambda: blocked.connect_count == 2)
         clock.advance(DEDUPLICATION_WINDOW_S)  # the endpoints may have forgotten the key
-        gated.gate.set()
+        blocked.unblock.set()
         assert (await response).status == 502
         await until(lambda: not proxy.pool._connecting)
         assert second.received == []
--- a/tests/proxy/test_client_disconnects.py
+++ b/tests/proxy/test_client_disconnects.py
@@ -209,7 +209,7 @@
             await until(lambda: not proxy.listener.connections)
 
 
-class EagerClient(DisconnectingClient):
+class PipeliningClient(DisconnectingClient):
     """Sends more in place of disconnecting."""
 
     def __init__(self, proxy: Proxy, more: bytes) -> None:
@@ -231,7 +231,7 @@
 async def test_client_whose_next_request_is_unread_is_not_disconnected(moment, sent_bytes):
     backends = FailingFirstAttempt("none")
     async with running_proxy(*backends.servers) as proxy:
-        client = EagerClient(proxy, SECOND_REQUEST[:sent_bytes])
+        client = PipeliningClient(proxy, SECOND_REQUEST[:sent_bytes])
         moment(proxy, 1, client)
         client.send(request("post", "first"))
         async with await client.to_http_client() as http_client:
--- a/tests/proxy/test_connection_limits.py
+++ b/tests/proxy/test_connection_limits.py
@@ -67,15 +67,15 @@
 async def test_request_over_the_connection_limit_is_rejected_and_its_connection_closed(proxy):
     scripted = script_policy(proxy)  # holds every request
     clients = [await HttpClient.to(proxy) for _ in range(proxy.listener.limit)]
-    for at, client in enumerate(clients):
-        client.writer.write(request(name=f"q{at}"))
+    for index, client in enumerate(clients):
+        client.writer.write(request(name=f"q{index}"))
     await until(lambda: proxy.requests.open_count == len(clients))
     late = await send_request(proxy, request(name="late"))
     assert (late.status, late.headers["connection"]) == (503, "close")
     assert len(scripted.events_of(IncomingRequest)) == len(clients)
     await until(lambda: len(proxy.listener.connections) == len(clients))
-    for at, client in enumerate(clients):
-        proxy.policy_runner.execute(Reject(f"q{at}"))
+    for index, client in enumerate(clients):
+        proxy.policy_runner.execute(Reject(f"q{index}"))
         assert (await client.read_response()).status == 503
 
 
@@ -83,8 +83,8 @@
     """A request needs no grace period of idle connections to end, unlike a mere connection."""
     stop_listener_clock(proxy)
     clients = [await HttpClient.to(proxy) for _ in range(proxy.listener.limit)]
-    for at, client in enumerate(clients):
-        assert (await client.send(request(name=f"q{at}"))).status == 200
+    for index, client in enumerate(clients):
+        assert (await client.send(request(name=f"q{index}"))).status == 200
     late = await HttpClient.to(proxy)
     await until(lambda: len(proxy.listener.connections) > proxy.listener.limit)  # all stay open
     assert (await late.send(request(name="late"))).status == 200
--- a/tests/proxy/test_descriptor_limits.py
+++ b/tests/proxy/test_descriptor_limits.py
@@ -151,7 +151,7 @@
     usable = case.descriptors - RESERVED_DESCRIPTORS
     upstream_limit = int(usable * UPSTREAM_FRACTION)
     async with StalledBackend() as known_endpoint:
-        names = [f"old{at}" for at in range(upstream_limit + 50)]
+        names = [f"old{index}" for index in range(upstream_limit + 50)]
         fields = {
             "known": targets(**{name: (known_endpoint.endpoint, "Ready") for name in names}),
             "limits": {"sockets": case.descriptors},
@@ -227,17 +227,17 @@
         self.peak_connections = 0
 
     def start(self) -> None:
-        self._next_turn = self._proxy.loop.call_soon(self._write)
+        self._next_iteration = self._proxy.loop.call_soon(self._write)
 
     def _write(self) -> None:
-        self._next_turn = self._proxy.loop.call_soon(self._write)
+        self._next_iteration = self._proxy.loop.call_soon(self._write)
         self.peak_connections = max(self.peak_connections, len(self._proxy.listener.connections))
         for client in self._sockets:
             with contextlib.suppress(OSError):
                 client.send(b"y")
 
     def stop(self) -> None:
-        self._next_turn.cancel()
+        self._next_iteration.cancel()
         for client in self._sockets:
             client.close()
 
--- a/tests/proxy/test_endpoint_updates.py
+++ b/tests/proxy/test_endpoint_updates.py
@@ -18,7 +18,7 @@
 )
 from tests.support.messages import endpoint_list_response, request, response_bytes, targets
 from tests.support.program import READINESS_REQUEST
-from tests.support.proxy import GatedConnects, policy_sending_to
+from tests.support.proxy import BlockedConnects, policy_sending_to
 from tests.support.proxy_config import config
 from tests.support.scripted_policy import script_policy
 
@@ -111,7 +111,7 @@
 
 async def test_drain_withdraws_connecting_attempts_for_a_retry(backend, proxy):
     scripted = script_policy(proxy, policy_sending_to("s0", "s0"))
-    GatedConnects(proxy)  # whose gate stays closed: no connection is established
+    BlockedConnects(proxy)  # never unblocked: no connection is established
     client = await HttpClient.to(proxy)
     client.writer.write(request())
     await until(lambda: proxy.pool.size)
--- a/tests/proxy/test_graceful_shutdown.py
+++ b/tests/proxy/test_graceful_shutdown.py
@@ -16,7 +16,7 @@
 from tests.support.loopback import HttpClient, LoopbackServer, StalledBackend, always, running_proxy, until
 from tests.support.messages import request, response_bytes
 from tests.support.model_time import stop_listener_clock
-from tests.support.proxy import GatedConnects, policy_sending_to
+from tests.support.proxy import BlockedConnects, policy_sending_to
 from tests.support.scripted_policy import script_policy
 from tests.support.slow_reader import LARGE_BODY, slow_reader
 
@@ -73,13 +73,13 @@
 
 @pytest.mark.usefixtures("short_shutdown")
 async def test_request_whose_attempt_connects_at_the_end_is_rejected_and_never_sent(backend, proxy):
-    gated = GatedConnects(proxy)
+    blocked = BlockedConnects(proxy)
     client = await HttpClient.to(proxy)
     client.writer.write(request("post"))
-    await until(lambda: gated.connects)
+    await until(lambda: blocked.connect_count)
     async with shutting_down(proxy), client:
         assert (await client.read_response()).status == 503
-        gated.gate.set()
+        blocked.unblock.set()
     await until(lambda: not proxy.pool.size)
     assert backend.received == []
 
@@ -125,8 +125,8 @@
         script_policy(proxy, policy_sending_to("s0"))  # which refuses none
         address = proxy.listener.address
         burst = [stack.enter_context(socket.create_connection(address)) for _ in range(30)]
-        for at, client in enumerate(burst):
-            client.sendall(request(name=f"q{at}"))
+        for index, client in enumerate(burst):
+            client.sendall(request(name=f"q{index}"))
         await proxy.listener.stop_listening()
         with pytest.raises(ConnectionRefusedError):
             socket.create_connection(address)
--- a/tests/proxy/test_request_parsing.py
+++ b/tests/proxy/test_request_parsing.py
@@ -80,6 +80,6 @@
 async def test_pipelined_requests_get_their_responses_in_order(backend, proxy):
     backend.script = lambda message: asyncio.sleep(0, response_bytes(200, message.body))
     client = await HttpClient.to(proxy)
-    client.writer.write(b"".join(request("post", f"q{at}", b"%d" % at) for at in range(5)))
+    client.writer.write(b"".join(request("post", f"q{index}", b"%d" % index) for index in range(5)))
     assert [(await client.read_response()).body for _ in range(5)] == [b"0", b"1", b"2", b"3", b"4"]
     assert (await client.send(request("post", "q9", b"9"))).body == b"9"
--- a/tests/proxy/test_upstream_attempt.py
+++ b/tests/proxy/test_upstream_attempt.py
@@ -58,8 +58,8 @@
     async with ManualServer() as server:
         pool.add("s", server.address)
         result = asyncio.create_task(attempt_result(pool))
-        await until(lambda: server.links)
-        ((reader, writer),) = server.links
+        await until(lambda: server.streams)
+        ((reader, writer),) = server.streams
         await reader.readuntil(b"\r\n\r\n")
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\npart")
         writer.close()
--- a/tests/proxy/test_watch_races.py
+++ b/tests/proxy/test_watch_races.py
@@ -37,7 +37,7 @@
     wait_s: float  # the longest time that discovery may wait before it responds
     address: Address
     transport: asyncio.Transport
-    at_s: float  # in model time
+    sent_at_s: float  # in model time
 
     def respond(self, revision: int) -> None:
         """Respond with a complete list, of the one endpoint that is named after the revision."""
@@ -69,8 +69,8 @@
 
 
 @contextlib.asynccontextmanager
-async def following_watch(settings: dict[str, Any] = PUSH) -> AsyncIterator[tuple[Proxy, ManualDiscovery]]:
-    """A proxy that follows this discovery."""
+async def watching_proxy(settings: dict[str, Any] = PUSH) -> AsyncIterator[tuple[Proxy, ManualDiscovery]]:
+    """A running proxy whose discovery responds as its test says."""
     model_loop().discovery = discovery = ManualDiscovery()
     async with running_proxy(settings=settings) as proxy:
         yield proxy, discovery
@@ -94,14 +94,14 @@
 @pytest.mark.parametrize("first", [pytest.param(True, id="first poll"), pytest.param(False, id="later poll")])
 @in_model_time
 async def test_silent_watch_is_reopened_at_once(first, sent_before):
-    async with following_watch() as (proxy, discovery):
+    async with watching_proxy() as (proxy, discovery):
         if not first:
             (await discovery.next_poll()).respond(7)
         silent = await discovery.next_poll()
         silent.transport.write(sent_before)
         assert silent.revision == (1 if first else 7)
         reopened = await discovery.next_poll()
-        assert reopened.at_s - silent.at_s == pytest.approx(silent.wait_s + RESPONSE_GRACE_S)
+        assert reopened.sent_at_s - silent.sent_at_s == pytest.approx(silent.wait_s + RESPONSE_GRACE_S)
         assert reopened.transport is not silent.transport
         assert reopened.revision == silent.revision
         silent.respond(8)  # ignored, as the proxy has closed this connection
@@ -119,13 +119,13 @@
 )
 @in_model_time
 async def test_reset_watch_is_reopened_and_a_drain_right_after_it_is_received(mode, longest_pause_s):
-    async with following_watch({"registryMode": mode}) as (proxy, discovery):
+    async with watching_proxy({"registryMode": mode}) as (proxy, discovery):
         (await discovery.next_poll()).respond(7)
         reset = await discovery.next_poll()
         reset.transport.abort()
         poll = await discovery.next_poll()
         assert poll.revision == 7
-        assert poll.at_s - reset.at_s <= longest_pause_s
+        assert poll.sent_at_s - reset.sent_at_s <= longest_pause_s
         poll.transport.write(endpoint_list_response(8, False, s7=(READY_ENDPOINT[0], "Terminating")))
         await wait_for_endpoints(proxy)
         assert not proxy.policy.endpoints.ready
@@ -133,7 +133,7 @@
 
 @in_model_time
 async def test_first_poll_of_a_connection_waits_no_longer_than_a_second():
-    async with following_watch() as (_, discovery):
+    async with watching_proxy() as (_, discovery):
         poll = await discovery.next_poll()
         assert (poll.revision, poll.wait_s) == (1, 1.0)
         poll.transport.write(endpoint_list_response(7, False))
@@ -152,7 +152,7 @@
 )
 @in_model_time
 async def test_new_discovery_address_in_a_backoff_is_polled_at_once(same):
-    async with following_watch() as (proxy, discovery):
+    async with watching_proxy() as (proxy, discovery):
         for _ in range(2):
             failed = await discovery.next_poll()
             failed.transport.abort()
@@ -162,7 +162,7 @@
         for _ in range(2):  # a second SIGHUP changes nothing
             proxy.reconfigure(config("{}:{}".format(*address)))
         poll = await discovery.next_poll()
-        assert (poll.revision, poll.address, poll.at_s) == (1, address, changed_at_s)
+        assert (poll.revision, poll.address, poll.sent_at_s) == (1, address, changed_at_s)
         await assert_no_other_watch(discovery)
         poll.respond(9)
         await wait_for_endpoints(proxy, "s9")
@@ -171,7 +171,7 @@
 @in_model_time
 async def test_hangup_with_the_same_discovery_address_reopens_the_watch():
     """The open watch may have fallen silent, and a change that it missed counts as notified in 4 s."""
-    async with following_watch() as (proxy, discovery):
+    async with watching_proxy() as (proxy, discovery):
         (await discovery.next_poll()).respond(7)
         silent = await discovery.next_poll()
         proxy.reconfigure(config("{}:{}".format(*silent.address)))
@@ -186,7 +186,7 @@
 
 @in_model_time
 async def test_discovery_that_responds_without_waiting_is_not_polled_without_pause():
-    async with following_watch() as (proxy, discovery):
+    async with watching_proxy() as (proxy, discovery):
         for _ in range(2):  # the first response has a change
             poll = await discovery.next_poll()
             poll.transport.write(endpoint_list_response(7, False))
@@ -194,7 +194,7 @@
         for _ in range(20):
             await asyncio.sleep(0)
         assert not discovery.has_poll
-        assert (await discovery.next_poll()).at_s - poll.at_s >= EMPTY_RESPONSE_PAUSE_S
+        assert (await discovery.next_poll()).sent_at_s - poll.sent_at_s >= EMPTY_RESPONSE_PAUSE_S
 
 
 @pytest.mark.parametrize(
@@ -210,7 +210,7 @@
 )
 @in_model_time
 async def test_unreadable_list_is_one_log_line_and_a_new_watch(malformed, caplog):
-    async with following_watch() as (proxy, discovery):
+    async with watching_proxy() as (proxy, discovery):
         (await discovery.next_poll()).respond(7)
         poll = await discovery.next_poll()
         caplog.clear()
--- a/tests/support/proxy.py
+++ b/tests/support/proxy.py
@@ -81,27 +81,27 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.links: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
+        self.streams: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.links.append((reader, writer))
+        self.streams.append((reader, writer))
 
 
-class GatedConnects:
-    """Holds back the connections that a proxy's pool opens, after the first few, until the gate is set."""
+class BlockedConnects:
+    """Blocks each connect of a proxy's pool after the first `allowed` ones until `unblock` is set."""
 
-    def __init__(self, proxy: Proxy, at_once: int = 0) -> None:
-        self.gate = asyncio.Event()
-        self.connects = 0
-        self.at_once = at_once
+    def __init__(self, proxy: Proxy, allowed: int = 0) -> None:
+        self.unblock = asyncio.Event()
+        self.connect_count = 0
+        self.allowed = allowed
         self.connect_now = proxy.pool.connect
         proxy.pool.connect = self._connect  # type: ignore[method-assign]
         proxy.pool.connect_timeout_s = 60.0
 
     async def _connect(self, address: Address) -> ClientConnection:
-        self.connects += 1
-        if self.connects > self.at_once:
-            await self.gate.wait()
+        self.connect_count += 1
+        if self.connect_count > self.allowed:
+            await self.unblock.wait()
         return await self.connect_now(address)
 
 
