--- a/tests/proxy/test_descriptor_limits.py
+++ b/tests/proxy/test_descriptor_limits.py
@@ -103,14 +103,14 @@
 
 CASES = [
     pytest.param(Case(256, "refuses"), id="256, silent clients"),
-    pytest.param(Case(256, "hangs", reconnecting=True), id="256, reconnecting clients"),
-    pytest.param(Case(256, "is mute", PARTIAL_REQUEST), id="256, half requests"),
+    pytest.param(Case(256, "does not accept", reconnecting=True), id="256, reconnecting clients"),
+    pytest.param(Case(256, "does not respond", PARTIAL_REQUEST), id="256, half requests"),
     pytest.param(Case(256, "refuses", PARTIAL_REQUEST, "busy"), id="256, half requests beside busy clients"),
-    pytest.param(Case(256, "is mute", before="slow"), id="256, silent clients beside slow ones"),
-    pytest.param(Case(768, "is mute", before="busy"), id="768, silent clients beside busy ones"),
+    pytest.param(Case(256, "does not respond", before="slow"), id="256, silent clients beside slow ones"),
+    pytest.param(Case(768, "does not respond", before="busy"), id="768, silent clients beside busy ones"),
     pytest.param(Case(1024, "refuses", before="busy"), id="1024, silent clients beside busy ones"),
     pytest.param(
-        Case(1024, "hangs", PARTIAL_REQUEST, "busy", reconnecting=True),
+        Case(1024, "does not accept", PARTIAL_REQUEST, "busy", reconnecting=True),
         id="1024, reconnecting half requests beside busy clients",
     ),
 ]
--- a/tests/proxy/test_start.py
+++ b/tests/proxy/test_start.py
@@ -51,7 +51,7 @@
     assert ours <= modules | set(PROGRAM)
 
 
-@pytest.mark.parametrize("outage", ["refuses", "hangs", "is mute"])
+@pytest.mark.parametrize("outage", ["refuses", "does not accept", "does not respond"])
 @pytest.mark.parametrize("mode", ["push", "ask"])
 @pytest.mark.parametrize("known", ["outdated", "empty"])
 async def test_proxy_started_while_discovery_is_down(tmp_path, outage, mode, known):
--- a/tests/support/builders.py
+++ b/tests/support/builders.py
@@ -1,4 +1,4 @@
-"""Builders for tests of the policy: classes, settings, endpoints and a policy in model time."""
+"""Builders for tests of the policy: service classes, settings, endpoints and a policy with a model clock."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 def build_settings(**changes: Any) -> Settings:
-    """Settings of a small pool with all three classes; `changes` replaces single fields."""
+    """Settings of a small pool with the three service classes; `changes` replaces single fields."""
     fields: dict[str, Any] = {
         "classes": (IDEMPOTENT_READ, NON_IDEMPOTENT_POST, KEYED_POINTS),
         "zone": "a",
@@ -83,14 +83,14 @@
 
 @dataclass(frozen=True)
 class SubmittedRequest:
-    """A request that a policy has received, and the actions that it returned."""
+    """A request that a policy has received, and the actions that the policy has returned for it."""
 
     request_id: str
     actions: list[Action]
 
     @property
     def is_sent(self) -> bool:
-        """Whether an attempt was sent."""
+        """Whether the policy sends an attempt for it."""
         return bool(sends(self.actions))
 
     @property
@@ -128,7 +128,7 @@
         self.now_ms += duration_ms
 
     def list_endpoints(self, *endpoints: Endpoint, kind: UpdateKind = UpdateKind.COMPLETE) -> list[Action]:
-        """Give the policy a membership update."""
+        """Give the policy a membership update with these endpoints."""
         return self.handle(MembershipUpdate(kind, endpoints))
 
     def submit(
@@ -186,7 +186,7 @@
         return self.handle(TimerFired(PERIOD_TIMER))
 
     def end_loaded_period(self, latency_ms: float, count: int = 30) -> None:
-        """Submit requests, of which those sent succeed at once with this latency, and end the period."""
+        """Submit requests, of which those that are sent succeed at once with this latency; end the period."""
         for _ in range(count):
             request = self.submit()
             if request.is_sent:
@@ -207,7 +207,7 @@
         return self.policy.cursor
 
     def move_cursor_to(self, position: int) -> None:
-        """Move the cursor by the loads of as many periods as it takes."""
+        """Move the cursor to this position, by as many periods with a high or low load as that takes."""
         while self.cursor != position:
             target_ratio = 2.0 if self.cursor < position else 0.5
             self.policy.admission.move_cursor(PoolLoad(target_ratio, 0, 0.0, latency_saturated=True))
--- a/tests/support/disconnects.py
+++ b/tests/support/disconnects.py
@@ -1,4 +1,4 @@
-"""Clients that disconnect at a given moment, and endpoints at which the first attempt fails."""
+"""Clients that disconnect at a given event, and endpoints at which the first attempt fails."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from tests.support.messages import Message, request, response_bytes
 from tests.support.sockets import close_by_reset
 
-ESTABLISHED, FIN_WAIT_1 = 1, 4  # states of Linux's TCP
+ESTABLISHED, FIN_WAIT_1 = 1, 4  # TCP states of Linux
 
 WAYS_TO_DISCONNECT = (
     "by closing",
-    "by ending its sending",
+    "by half-closing",
     "by a reset",
-    "with bytes unread before its end",
+    "with unread bytes before the end of stream",
 )
 
 
@@ -49,18 +49,18 @@
 
     def disconnect(self) -> None:
         self.disconnected = True
-        if self._way == "with bytes unread before its end":
+        if self._way == "with unread bytes before the end of stream":
             self.send(request("post", "behind"))
         if self._way == "by a reset":
             close_by_reset(self._socket)
             return
         self._socket.shutdown(socket.SHUT_WR)
         self._wait_until_end_of_stream_arrived()
-        if self._way != "by ending its sending":
+        if self._way != "by half-closing":
             self._socket.close()
 
     def _wait_until_end_of_stream_arrived(self) -> None:
-        """Wait until the proxy's kernel has acknowledged it, which takes time on a busy machine."""
+        """Wait until the proxy's kernel has acknowledged the end of stream, which can take a while."""
         while self._socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] in (ESTABLISHED, FIN_WAIT_1):
             time.sleep(0.001)
 
@@ -69,7 +69,7 @@
 
 
 def disconnect_at_send(proxy: Proxy, number: int, client: DisconnectingClient) -> None:
-    """Have the client disconnect when the policy returns its `Send` of this number."""
+    """Disconnect the client when the policy returns its `Send` of this number, counted from 1."""
     handle, sends = proxy.policy.handle, 0
 
     def handle_and_disconnect(now_ms: float, event: Event) -> list[Action]:
@@ -85,15 +85,15 @@
 
 
 def disconnect_at_connection(proxy: Proxy, number: int, client: DisconnectingClient) -> None:
-    """Have the client disconnect when the upstream connection of this number is established."""
+    """Disconnect the client when the upstream connection of this number, counted from 1, is established."""
     connect, connections = proxy.pool.connect, 0
 
     async def connect_and_disconnect(address: Address) -> ClientConnection:
         nonlocal connections
         connections += 1
-        this = connections
+        number_of_this = connections
         connection = await connect(address)
-        if this == number:
+        if number_of_this == number:
             client.disconnect()
         return connection
 
@@ -101,7 +101,7 @@
 
 
 class FailingFirstAttempt:
-    """Two endpoints; the first attempt, at whichever of them, has the given result."""
+    """Two endpoints; the first attempt that reaches either of them has the given result."""
 
     def __init__(self, first_result: str) -> None:
         self._first_result = first_result
@@ -109,12 +109,12 @@
 
     @property
     def request_ids(self) -> list[str]:
-        """The ids of the requests that have reached an endpoint, without those of `open_connections`."""
+        """The ids of the requests that the endpoints have received, without those of `open_connections`."""
         ids = [request_id for server in self.servers for request_id in server.request_ids]
         return [request_id for request_id in ids if not request_id.startswith("warm")]
 
     async def open_connections(self, proxy: Proxy) -> None:
-        """Leave one idle connection to each endpoint in the proxy's pool."""
+        """Open one connection to each endpoint, which stays idle in the proxy's pool."""
         for number in range(len(self.servers)):
             allow_only(proxy.policy.endpoints, f"s{number}")
             assert (await send_request(proxy, request("post", f"warm{number}"))).status == 200
@@ -133,7 +133,7 @@
         return responses.get(self._first_result, response_bytes())
 
     def prepare(self, proxy: Proxy) -> None:
-        """If the result is "refused", have the first attempt use a new connection, which is refused."""
+        """If the result is "refused", make the first attempt open a new connection, which is refused."""
         if self._first_result != "refused":
             return
         pool = proxy.pool
--- a/tests/support/discovery_outage.py
+++ b/tests/support/discovery_outage.py
@@ -1,4 +1,4 @@
-"""Discovery that is down at first, and comes back with one new endpoint."""
+"""A discovery outage, which ends with an endpoint list of one new endpoint."""
 
 from __future__ import annotations
 
@@ -20,10 +20,11 @@
 
 
 class DiscoveryOutage:
-    """Discovery's address, down until `end`; an asynchronous context manager that closes all sockets.
+    """A discovery that is unavailable until `end`; an asynchronous context manager that closes all sockets.
 
-    While it is down, it refuses connections ("refuses"), never establishes them ("hangs"), or accepts them
-    and doesn't respond ("is mute"). Then it responds with a list of the one endpoint `new_endpoint`.
+    During the outage it refuses connections ("refuses"), never establishes them ("does not accept"), or
+    accepts them and does not respond ("does not respond"). Afterwards its list has the one endpoint
+    `new_endpoint`.
     """
 
     def __init__(self, kind: str) -> None:
@@ -31,15 +32,15 @@
         self._discovery = LoopbackServer(self._list)
         self._socket = socket.socket()
         self._socket.bind(("127.0.0.1", 0))
-        self._hang = contextlib.ExitStack()
-        if kind == "hangs":
-            self._hang.enter_context(full_accept_queue(self._socket))
-        if kind == "is mute":
+        self._full_queue = contextlib.ExitStack()
+        if kind == "does not accept":
+            self._full_queue.enter_context(full_accept_queue(self._socket))
+        if kind == "does not respond":
             self._socket.listen()
 
     @property
     def address(self) -> str:
-        """Discovery's address as a configuration file has it."""
+        """The address in the form of a configuration file."""
         return "{}:{}".format(*self._socket.getsockname())
 
     async def __aenter__(self) -> Self:
@@ -47,7 +48,7 @@
         return self
 
     async def __aexit__(self, *_error: object) -> None:
-        self._hang.close()
+        self._full_queue.close()
         await self._discovery.aclose()
         await self.new_endpoint.aclose()
         self._socket.close()
@@ -58,8 +59,8 @@
         return endpoint_list_response(2, True, new=(self.new_endpoint.endpoint, "Ready"))
 
     async def end(self) -> None:
-        """Bring discovery back, and wait until its client has the new list."""
-        self._hang.close()
+        """End the outage, and wait until discovery's client has the new list."""
+        self._full_queue.close()
         self._socket.setblocking(False)
         await self._discovery.start(self._socket)
         await until(lambda: any("since=2&" in message.start_line[1] for message in self._discovery.received))
@@ -67,11 +68,11 @@
 
 @dataclass(frozen=True)
 class ProxyInOutage:
-    """A proxy process whose discovery is down.
+    """A proxy process whose discovery is unavailable.
 
     Attributes:
-        address: where it listens.
-        discovery: its discovery.
+        address: the address that the proxy listens on.
+        discovery: the discovery that the proxy watches.
         program: the process.
     """
 
@@ -84,7 +85,7 @@
 async def proxy_in_outage(
     folder: Path, outage: str, descriptor_limit: int | None = None, **document: Any
 ) -> AsyncIterator[ProxyInOutage]:
-    """Run a proxy process in an outage of this kind; the document's fields are as in `config_document`."""
+    """Run a proxy process in an outage of this kind; `document` has the arguments of `config_document`."""
     async with DiscoveryOutage(outage) as discovery:
         address = free_address()
         config = write_config(folder, config_document(discovery.address, **document), address)
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -1,4 +1,4 @@
-"""Stand-ins on the loopback address for a proxy's clients, backends and discovery, scripted by each test."""
+"""Test doubles, on the loopback address, of a proxy's clients, backends and discovery; tests script them."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from tests.support.messages import Message, read_message, response_bytes, targets
 from tests.support.proxy_config import config
 
-WAIT_LIMIT_S = 20.0  # below the time-out of a test, so that the failure shows which condition stayed false
+WAIT_LIMIT_S = 20.0  # below the time-out of a test, so that the traceback shows which condition is false
 POLL_INTERVAL_S = 0.005
 
 
 async def close_writer(writer: asyncio.StreamWriter) -> None:
-    """Close a connection at once, and wait until it is closed; what the peer has not read is dropped."""
+    """Abort a connection and wait until it is closed; data that the peer has not read is lost."""
     writer.transport.abort()
     with contextlib.suppress(OSError):
         await writer.wait_closed()
@@ -39,7 +39,7 @@
 
 
 class LoopbackServer:
-    """An HTTP server that responds as its script says, and with 200 if it has none.
+    """An HTTP server that responds as its script says, or with 200 if it has none.
 
     It is an asynchronous context manager that listens within its context and has closed all sockets after it.
     """
@@ -47,7 +47,7 @@
     def __init__(self, script: Script | None = None) -> None:
         self.script = script or always(response_bytes())
         self.received: list[Message] = []  # all requests, in the order of arrival
-        self.connections = 0  # accepted since the start
+        self.connections = 0  # number of connections accepted since the start
         self.readers: list[asyncio.StreamReader] = []
         self._writers: list[asyncio.StreamWriter] = []
         self._tasks: set[asyncio.Task[None]] = set()  # one for each open connection
@@ -68,12 +68,12 @@
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
+        """The address that it listens on."""
         return Address("127.0.0.1", self.port)
 
     @property
     def endpoint(self) -> str:
-        """The address as endpoint lists have it."""
+        """The address in the form of an endpoint list."""
         return f"127.0.0.1:{self.port}"
 
     @property
@@ -82,7 +82,7 @@
         return [message.headers["req-id"] for message in self.received]
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve one connection, until the server stops at the latest."""
+        """Serve one connection; `stop` cancels it."""
         task = asyncio.current_task()
         assert task is not None
         self._tasks.add(task)
@@ -106,7 +106,7 @@
                 await writer.drain()
 
     def stop(self) -> None:
-        """Begin to close the listening socket and all connections; no effect if the server is not started."""
+        """Start to close the listening socket and all connections; no effect if the server is not started."""
         if self._server is not None:
             self._server.close()
         for task in self._tasks:
@@ -119,11 +119,11 @@
         self.stop()
         for writer in self._writers:
             await close_writer(writer)
-        await asyncio.gather(*self._tasks)  # raises what a script has raised meanwhile
+        await asyncio.gather(*self._tasks)  # raises an exception that a script has raised
 
 
 class StalledBackend(LoopbackServer):
-    """A backend that responds to nothing until `release` is set."""
+    """A backend that does not respond until `release` is set."""
 
     def __init__(self) -> None:
         super().__init__(self._wait)
@@ -135,7 +135,7 @@
 
 
 class ScriptedDiscovery(LoopbackServer):
-    """A discovery that returns `responses`, one to each request, and lets further requests wait."""
+    """A discovery that sends `responses`, one to each request, and does not respond to further requests."""
 
     def __init__(self, *responses: bytes | None) -> None:
         super().__init__(self._next)
@@ -148,7 +148,7 @@
 
 
 _clients_of: WeakKeyDictionary[Proxy, list[HttpClient]] = WeakKeyDictionary()
-"""Clients connected by `HttpClient.to`, which `running_proxy` closes with its proxy."""
+"""Clients connected by `HttpClient.to`; `running_proxy` closes them together with the proxy."""
 
 
 async def _close_proxy(proxy: Proxy) -> None:
@@ -162,18 +162,19 @@
 
 @contextlib.asynccontextmanager
 async def running_proxy(
-    *servers: LoopbackServer, discovery: LoopbackServer | None = None, **more: Any
+    *servers: LoopbackServer, discovery: LoopbackServer | None = None, **fields: Any
 ) -> AsyncIterator[Proxy]:
-    """A running proxy whose cached list has these backends as s0, s1 and so on.
+    """A running proxy with these backends as its known endpoints s0, s1 and so on.
 
-    The proxy, its clients, the backends and discovery are closed at the end of the context.
+    `fields` are the arguments of `config_document`. The context closes the proxy, its clients, the backends
+    and discovery at its end.
     """
     async with contextlib.AsyncExitStack() as stack:
         discovery = await stack.enter_async_context(discovery or ScriptedDiscovery())
         for server in servers:
             await stack.enter_async_context(server)
         known = targets(**{f"s{number}": (server.endpoint, "Ready") for number, server in enumerate(servers)})
-        proxy = Proxy(config(discovery.endpoint, known=known, **more))
+        proxy = Proxy(config(discovery.endpoint, known=known, **fields))
         stack.push_async_callback(_close_proxy, proxy)
         await proxy.start()
         yield proxy
--- a/tests/support/messages.py
+++ b/tests/support/messages.py
@@ -1,4 +1,4 @@
-"""Requests and responses in bytes, and endpoint lists as discovery sends them."""
+"""Encoded requests and responses, a reader of them, and endpoint lists as discovery sends them."""
 
 from __future__ import annotations
 
@@ -37,14 +37,14 @@
 
 
 def response_bytes(status: int = 200, body: bytes = b"done", **headers: str) -> bytes:
-    """A response in bytes; an underscore in a header's keyword stands for a hyphen."""
+    """An encoded response; underscores in the keywords of headers become hyphens."""
     lines = [f"HTTP/1.1 {status} Word", f"Content-Length: {len(body)}"]
     lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
 def request(kind: str = "read", name: str = "q1", body: bytes = b"", **headers: str) -> bytes:
-    """A request in bytes, of a service class and with an id; header keywords are as in `response_bytes`."""
+    """An encoded request of a service class, with an id; headers are given as in `response_bytes`."""
     method = "GET" if kind == "read" else "POST"
     lines = [f"{method} /{kind}/7f3a?x=1 HTTP/1.1", "Host: service.internal", f"Req-Id: {name}"]
     if kind != "read":
@@ -54,7 +54,7 @@
 
 
 def targets(**states: tuple[str, str]) -> list[dict[str, Any]]:
-    """The entries of an endpoint list on the wire: address and state by uid."""
+    """The entries of an endpoint list as on the wire; the arguments are address and state by uid."""
     return [
         {"uid": uid, "endpoint": endpoint, "az": "a", "pod_group": 1, "state": state, "boot_ms": 0}
         for uid, (endpoint, state) in states.items()
@@ -62,5 +62,5 @@
 
 
 def endpoint_list_response(revision: int, complete: bool, **states: tuple[str, str]) -> bytes:
-    """Discovery's response with an endpoint list, complete or of changes."""
+    """Discovery's response with a complete endpoint list or with a delta."""
     return response_bytes(200, orjson.dumps({"rev": revision, "all": complete, "targets": targets(**states)}))
--- a/tests/support/model_time.py
+++ b/tests/support/model_time.py
@@ -1,7 +1,7 @@
-"""Event loops whose time does not depend on the machine, and a discovery that fails as its test says.
+"""Event loops with a simulated clock, and a discovery that fails as its test says.
 
-In model time the clock jumps to the next timer when nothing is left to read, so that a run takes as long as
-its steps and has the same result each time. The connections are real socket pairs.
+In model time the clock jumps to the next timer when nothing is left to read, so that a run takes no longer
+than its computations and has the same result each time. The connections are real socket pairs.
 """
 
 from __future__ import annotations
@@ -22,35 +22,36 @@
 
 ENDPOINT = ("127.0.0.1:9", "Ready")
 SYN_INTERVALS_S = (1.0, 2.0, 4.0, 8.0, 16.0)  # between one SYN and the next, until one is acknowledged
+# "silent" means no response, "half" a truncated one. Tests derive their seeds from these names.
 FAULTS = ("silent", "half", "unreachable", "refused", "reset", "unreadable", "any of these")
 
 
 class ModelTimeSelector(selectors.DefaultSelector):
-    """Advances its clock in place of waiting; fails if nothing is left to wait for."""
+    """Advances its clock instead of waiting; fails if there is nothing to wait for."""
 
     now_s = 0.0
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """Return what is ready; if nothing is, let `timeout` seconds pass in model time."""
+        """Return the ready files; if there are none, advance the model time by `timeout` seconds."""
         ready = super().select(0)
         if not ready:
-            assert timeout is not None, "nothing is left to wait for"
+            assert timeout is not None, "the event loop has neither a ready file nor a timer to wait for"
             self.now_s += max(0.0, timeout)
         return ready
 
 
 class ModelDiscovery(Protocol):
-    """Discovery as a `ModelLoop` reaches it."""
+    """The discovery that a `ModelLoop` connects to."""
 
     async def on_connect(self, address: Address) -> None:
-        """Let a connect to this address succeed, or fail with OSError."""
+        """Return to let a connect to this address succeed, or raise OSError."""
 
     def on_request(self, transport: asyncio.Transport, text: str) -> None:
-        """Take a request, given as text, that came on this connection."""
+        """Handle a request, given as text, that is received on this connection."""
 
 
 class ModelLoop(asyncio.SelectorEventLoop):
-    """An event loop in model time, on which every address is that of `discovery`."""
+    """An event loop in model time, on which each connect reaches `discovery`."""
 
     discovery: ModelDiscovery
 
@@ -63,7 +64,7 @@
         return self._model_selector.now_s
 
     def skip(self, seconds: float) -> None:
-        """Let time pass within the current turn, as if the loop were late."""
+        """Advance the time within the current iteration, as if the event loop were late."""
         self._model_selector.now_s += seconds
 
     async def create_connection(  # type: ignore[override]
@@ -74,7 +75,7 @@
         *,
         sock: socket.socket | None = None,
     ) -> tuple[asyncio.BaseTransport, asyncio.Protocol]:
-        """Connect to the discovery, whatever the address; a given socket is used as it is."""
+        """Connect to the discovery, whatever the address; a given socket is used unchanged."""
         if sock is not None:
             return await super().create_connection(protocol_factory, sock=sock)
         assert host is not None
@@ -122,14 +123,14 @@
 
 
 class DiscoveryModel:
-    """Responds to watch requests while it is up; while it is down, each of them fails as the fault says."""
+    """Responds to watch requests while it is up; during an outage each of them fails with the given fault."""
 
     def __init__(self, fault: str, rng: Random) -> None:
         self.up = True
         self.revision = 1
-        # Requests, and connects that fail while it is down.
+        # Requests, and connects that fail during the outage.
         self.attempts: asyncio.Queue[str] = asyncio.Queue()
-        self.waiting: dict[asyncio.Transport, asyncio.TimerHandle] = {}  # the end of each request's wait
+        self.waiting: dict[asyncio.Transport, asyncio.TimerHandle] = {}  # timers of the requests' waits
         self._fault = fault
         self._rng = rng
         self._loop = asyncio.get_running_loop()
@@ -140,19 +141,19 @@
         return self._rng.choice(FAULTS[:-1]) if self._fault == FAULTS[-1] else self._fault
 
     async def on_connect(self, _address: Address) -> None:
-        """Let a connect succeed, or fail as the fault says."""
+        """Let a connect succeed, or fail with the fault."""
         fault = self._current_fault()
         if fault in ("refused", "unreachable"):
             self.attempts.put_nowait(fault)
         if fault == "refused":
-            raise ConnectionRefusedError("refused")
+            raise ConnectionRefusedError("the modelled discovery refuses connections")
         for interval_s in SYN_INTERVALS_S if fault == "unreachable" else ():
             await asyncio.sleep(interval_s)
             if self.up:
                 return
 
     def on_request(self, transport: asyncio.Transport, text: str) -> None:
-        """Respond to a request, keep it waiting, or fail it as the fault says."""
+        """Respond to a request, at once or after its wait, or fail it with the fault."""
         self.attempts.put_nowait(text)
         fault = self._current_fault()
         since, wait_ms = (int(word.split("=")[1]) for word in text.split()[1].split("?")[1].split("&"))
@@ -170,7 +171,7 @@
             self.waiting[transport] = self._loop.call_later(wait_ms / 1000.0, self._end_wait, transport)
 
     def list_response(self, *, complete: bool) -> bytes:
-        """The response at the current revision: one endpoint named after it, or no changes."""
+        """The response at the current revision: a list of one endpoint named after it, or no changes."""
         endpoints = {f"s{self.revision}": ENDPOINT} if complete else {}
         return endpoint_list_response(self.revision, complete, **endpoints)
 
@@ -179,7 +180,7 @@
         transport.write(self.list_response(complete=False))
 
     def go_down(self) -> None:
-        """Fail from now on; the requests that wait get no response."""
+        """Start the outage; the requests that wait get no response."""
         self.up = False
         for transport, end_of_wait in self.waiting.items():
             end_of_wait.cancel()
@@ -188,7 +189,7 @@
         self.waiting.clear()
 
     async def wait_for_attempts(self, count: int) -> None:
-        """Wait until `count` more connects or requests have been made."""
+        """Wait for `count` more requests or failed connects."""
         for _ in range(count):
             await self.attempts.get()
 
@@ -196,7 +197,7 @@
 class AdjustableClock:
     """The running event loop's clock, which a test can advance.
 
-    It has to be made before the objects that keep the loop's clock.
+    Create it before the objects that store the loop's `time` method.
     """
 
     def __init__(self) -> None:
@@ -210,11 +211,11 @@
         return self._time() + self._advance_s
 
     def advance(self, duration_s: float) -> None:
-        """Let time pass at once."""
+        """Advance the time, without waiting."""
         self._advance_s += duration_s
 
 
 def stop_listener_clock(proxy: Proxy) -> None:
-    """Have no time pass for the proxy's listener: no time-out or grace period of its connections ends."""
+    """Stop the clock of the proxy's listener, so that no time-out or grace period of a connection ends."""
     now_s = proxy.loop.time()
     proxy.listener.registry.clock = lambda: now_s
--- a/tests/support/program.py
+++ b/tests/support/program.py
@@ -1,4 +1,4 @@
-"""The proxy as a process: `python -m loadbalancer` with a configuration file, and clients that reach it."""
+"""The proxy as a process, `python -m loadbalancer` with a configuration file, and clients of it."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
 ) -> Iterator[subprocess.Popen[str]]:
     """The proxy as a process with its log in a pipe; killed at the end of the context if it still runs.
 
-    With a descriptor limit it may open no more descriptors than that. The prelude is Python code that the
-    process runs before the program, to change constants whose real values leave too little time for a test.
+    A descriptor limit restricts the descriptors that it may have open. The prelude is Python code that the
+    process runs before the program, to change constants whose real values are too short for a test.
     """
     environment = {key: value for key, value in os.environ.items() if key != "PROXY_CONFIG"}
     if config is not None:
@@ -52,24 +52,24 @@
 
 
 async def wait_for_log(program: subprocess.Popen[str], text: str) -> None:
-    """Read the program's log until a line with this text; AssertionError if the log ends before it."""
+    """Read the program's log up to a line with this text; AssertionError if the log ends before it."""
     assert program.stderr is not None
     while text not in (line := await asyncio.to_thread(program.stderr.readline)):
-        assert line, f"the log has no line with {text!r}"
+        assert line, f"the program's log ended without a line that contains {text!r}"
 
 
 def free_address() -> Address:
-    """An address of this machine that nothing listens on, and that no outgoing connection gets.
+    """An address of this machine that nothing listens on and that no outgoing connection is given.
 
-    Guard: clients that try to connect before the proxy listens could be given that very port as their own,
-    which then can't be listened on. The port is taken from outside the range of outgoing connections.
+    A client that tries to connect before the proxy listens could get this port as its local port, and the
+    proxy could then not listen on it. The port is therefore outside the range of ephemeral ports.
     """
     (port,) = free_ports(1)
     return Address("127.0.0.1", port)
 
 
 def write_config(folder: Path, document: dict[str, Any], listen: Address | None = None) -> Path:
-    """Write a configuration file; with an address, the proxy listens there."""
+    """Write a configuration file; a given address replaces the one to listen on."""
     path = folder / "config.json"
     path.write_bytes(
         orjson.dumps(document if listen is None else document | {"listen": "{}:{}".format(*listen)})
@@ -78,7 +78,7 @@
 
 
 async def send_until_response(address: Address, data: bytes) -> Message:
-    """Send a request, again on a new connection while there is no listener or the proxy closes it."""
+    """Send a request; retry on a new connection while the proxy does not listen or closes connections."""
     while True:
         with socket.socket() as raw, contextlib.suppress(OSError, asyncio.IncompleteReadError):
             raw.setblocking(False)
--- a/tests/support/proxy.py
+++ b/tests/support/proxy.py
@@ -1,4 +1,4 @@
-"""Builders for the tests of the proxy's own modules."""
+"""Connection pools, attempts and servers for the tests of the proxy's modules."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class FixedRequest:
-    """A request of given bytes that is always needed."""
+    """The request of an attempt, with given bytes; it always still has to be sent."""
 
     def __init__(self, data: bytes, on_result: OnResult) -> None:
         self.data = data
@@ -44,7 +44,7 @@
     data: bytes = REQUEST_BYTES,
     timeout_s: float = 20.0,
 ) -> UpstreamAttempt:
-    """Send a request to the endpoint of this name; the test names one that the pool has."""
+    """Send a request to the endpoint of this name, which has to be in the pool."""
     connections = pool.get(endpoint)
     assert connections is not None
     attempt = UpstreamAttempt(pool, FixedRequest(data, on_result), timeout_s)
@@ -55,7 +55,7 @@
 async def attempt_result(
     pool: ConnectionPool, endpoint: str = "s", data: bytes = REQUEST_BYTES, timeout_s: float = 20.0
 ) -> AttemptResult:
-    """The result of one attempt; a second result of it would raise."""
+    """The result of one attempt; a second result raises InvalidStateError."""
     ended: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
     start_attempt(pool, endpoint, lambda result, _: ended.set_result(result), data, timeout_s)
     return await ended
@@ -77,7 +77,7 @@
 
 
 class ManualServer(LoopbackServer):
-    """A server whose test reads and writes each of its connections itself."""
+    """A server whose test itself reads and writes the streams of each connection."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/support/proxy_config.py
+++ b/tests/support/proxy_config.py
@@ -1,4 +1,4 @@
-"""A proxy's configuration, with settings that suit tests on the loopback address."""
+"""A proxy's configuration, with settings for tests on the loopback address."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
 }
 
 
-def config_document(discovery: str, **more: Any) -> dict[str, Any]:
-    """A proxy's configuration file in JSON values; `known`, `bounds` and `settings` are merged into it."""
-    known = {"rev": 1, "all": True, "targets": more.pop("known", [])}
-    bounds = SETTINGS["bounds"] | more.pop("bounds", {})
-    settings = SETTINGS | {"bounds": bounds} | more.pop("settings", {})
+def config_document(discovery: str, **fields: Any) -> dict[str, Any]:
+    """The values of a configuration file; `known` has targets, `bounds` and `settings` are merged into it."""
+    known = {"rev": 1, "all": True, "targets": fields.pop("known", [])}
+    bounds = SETTINGS["bounds"] | fields.pop("bounds", {})
+    settings = SETTINGS | {"bounds": bounds} | fields.pop("settings", {})
     return {
         "name": "n0",
         "listen": "127.0.0.1:0",
@@ -42,9 +42,9 @@
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "known": known,
         "settings": settings,
-    } | more
+    } | fields
 
 
-def config(discovery: str, **more: Any) -> Config:
+def config(discovery: str, **fields: Any) -> Config:
     """A proxy's configuration; the arguments are those of `config_document`."""
-    return parse_config(orjson.dumps(config_document(discovery, **more)))
+    return parse_config(orjson.dumps(config_document(discovery, **fields)))
--- a/tests/support/proxy_fixtures.py
+++ b/tests/support/proxy_fixtures.py
@@ -1,4 +1,4 @@
-"""Fixtures of all test folders: a running proxy in front of one backend."""
+"""Fixtures for all test folders: a running proxy with one backend."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 @pytest.fixture
 def backend() -> LoopbackServer:
-    """The backend of `proxy`, whose script a test may set; a module with another kind overrides it."""
+    """The backend of `proxy`, whose script a test may set; modules override it with other backends."""
     return LoopbackServer()
 
 
 @pytest.fixture
 def proxy_options() -> dict[str, Any]:
-    """Further arguments of `running_proxy` for `proxy`; a module with another configuration overrides it."""
+    """Further arguments of `running_proxy` for `proxy`; modules override it with their configuration."""
     return {}
 
 
 @pytest.fixture
 async def proxy(backend: LoopbackServer, proxy_options: dict[str, Any]) -> AsyncIterator[Proxy]:
-    """The proxy, which is closed with its backend and clients after the test."""
+    """A running proxy, which is closed together with its backend and clients after the test."""
     async with running_proxy(backend, **proxy_options) as proxy:
         yield proxy
--- a/tests/support/scripted_policy.py
+++ b/tests/support/scripted_policy.py
@@ -1,4 +1,4 @@
-"""A policy that returns the actions which its test chooses."""
+"""A policy that returns the actions that its test chooses."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ScriptedPolicy:
-    """Stands in for the policy: records its events and returns the actions that the test chooses."""
+    """A test double of the policy: records the events and returns the actions that the test chooses."""
 
     cursor = 0
 
@@ -20,7 +20,7 @@
         self.events: list[Event] = []
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """Record an event and return the test's actions; the policy's own signature."""
+        """Record an event and return the test's actions for it."""
         self.events.append(event)
         return self.act(event)
 
@@ -45,7 +45,7 @@
     requests: Callable[[IncomingRequest], Sequence[Action]] = lambda event: [],
     outcomes: Callable[[AttemptOutcome], Sequence[Action]] = lambda event: [],
 ) -> Callable[[Event], list[Action]]:
-    """What a scripted policy does: these actions on requests and on outcomes, and none on other events."""
+    """A script that returns these actions for requests and outcomes, and none for other events."""
 
     def act(event: Event) -> list[Action]:
         match event:
--- a/tests/support/slow_reader.py
+++ b/tests/support/slow_reader.py
@@ -10,12 +10,12 @@
 from loadbalancer.proxy.proxy import Proxy
 from tests.support.loopback import until
 
-LARGE_BODY = b"z" * 65536  # does not fit into these buffers
+LARGE_BODY = b"z" * 65536  # larger than these buffers
 
 
 @contextlib.asynccontextmanager
 async def slow_reader(proxy: Proxy) -> AsyncIterator[tuple[socket.socket, ServerConnection]]:
-    """The client's socket, which blocks, and the proxy's end of the only connection to it."""
+    """The client's blocking socket, and the proxy's end of its connection, which is the only one."""
     with socket.socket() as client:
         client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1)
         client.connect(proxy.listener.address)
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -1,4 +1,4 @@
-"""Blocking and unaccepted sockets on the loopback address, which act without the event loop."""
+"""Blocking sockets and listeners that do not accept, on the loopback address, without the event loop."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def start_connect(address: Address) -> socket.socket:
-    """Start to connect: on loopback the connection is up at once, unless the accept queue is full."""
+    """Start to connect: on loopback this succeeds at once, unless the accept queue is full."""
     connecting = socket.socket()
     connecting.setblocking(False)
     connecting.connect_ex(address)
@@ -22,10 +22,7 @@
 
 @contextlib.contextmanager
 def full_accept_queue(listener: socket.socket) -> Iterator[None]:
-    """Listen on a bound socket, on which no connection is established within the context.
-
-    Its accept queue is full and nobody accepts.
-    """
+    """Listen on a bound socket with a full accept queue: within the context no connection is established."""
     listener.listen(0)
     with contextlib.ExitStack() as fillers:
         for _ in range(FILLERS):
@@ -43,6 +40,6 @@
 
 
 def close_by_reset(connected: socket.socket) -> None:
-    """Close a connection by a reset in place of an end of stream."""
+    """Close a connection with a reset instead of an end of stream."""
     connected.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     connected.close()
