--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,7 @@
-"""Known failing tests: KNOWN-RED.txt lists them, and a run expects just these to fail and prints them.
+"""Known failing tests: KNOWN-RED.txt lists them, and a run expects only these to fail and prints them.
 
 Each line is `test id: cause; issue`. A listed test that passes fails the run, and so does a line that names
-no test: the list can't outlive its faults.
+no test, so that no line stays after its fault is fixed.
 """
 
 from __future__ import annotations
@@ -22,11 +22,13 @@
     lines = KNOWN_RED.read_text().splitlines() if KNOWN_RED.exists() else []
     listed = dict(line.split(": ", 1) for line in lines if line.strip())
     if len(listed) > MAX_KNOWN_FAILURES:
-        raise pytest.UsageError(f"{KNOWN_RED.name}: {len(listed)} tests, {MAX_KNOWN_FAILURES} at most")
+        raise pytest.UsageError(
+            f"{KNOWN_RED.name} lists {len(listed)} tests; the limit is {MAX_KNOWN_FAILURES}"
+        )
     for test_id in listed:
         file, _, name = test_id.partition("::")
         if not (ROOT / file).is_file() or f"def {name.partition('[')[0]}(" not in (ROOT / file).read_text():
-            raise pytest.UsageError(f"{KNOWN_RED.name}: there is no test {test_id}")
+            raise pytest.UsageError(f"{KNOWN_RED.name} lists {test_id}, which is not a test of this project")
     return listed
 
 
