--- a/tests/proxy/test_attempt_races.py
+++ b/tests/proxy/test_attempt_races.py
@@ -76,7 +76,9 @@
         pytest.param(lambda client: client.writer.close(), id="close"),
     ],
 )
-async def test_client_that_disconnects_while_its_attempt_connects_is_not_forwarded(can_cancel, disconnect):
+async def test_request_whose_client_disconnects_while_its_attempt_connects_is_not_sent(
+    can_cancel, disconnect
+):
     server = LoopbackServer()
     async with running_proxy(server, bounds={"cancel": can_cancel}) as proxy:
         blocked, client = await start_blocked_request(proxy)
@@ -90,7 +92,7 @@
         assert proxy.policy.endpoints.by_name["s0"].in_flight == 0.0
 
 
-async def test_client_that_disconnects_while_a_retry_connects_is_not_forwarded(can_cancel):
+async def test_retry_whose_client_disconnects_while_it_connects_is_not_sent(can_cancel):
     full, other = LoopbackServer(always(response_bytes(503, Srv_Declined="1"))), LoopbackServer()
     async with running_proxy(full, other, bounds={"cancel": can_cancel}) as proxy:
         scripted = script_policy(proxy, policy_sending_to("s0", "s1"))
@@ -134,7 +136,7 @@
     proxy.pool.connect = connect_and_fill  # type: ignore[method-assign]
 
 
-async def test_request_half_written_as_its_client_disconnects_is_not_sent(can_cancel):
+async def test_partially_written_request_whose_client_disconnects_is_not_sent(can_cancel):
     """The server accepts no more bytes: the rest waits in the proxy."""
     server = ManualServer()
     async with running_proxy(server, bounds={"cancel": can_cancel}) as proxy:
@@ -154,7 +156,7 @@
         assert b"left" not in await reader.read()
 
 
-async def test_client_that_disconnects_as_its_attempt_has_connected_is_not_forwarded():
+async def test_request_whose_client_disconnects_before_the_first_byte_is_not_sent():
     server = LoopbackServer()
     async with running_proxy(server, bounds={"cancel": False}) as proxy:
         blocked, _ = await start_blocked_request(proxy)
--- a/tests/proxy/test_client_disconnects.py
+++ b/tests/proxy/test_client_disconnects.py
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize("first_result", ["none", "declined", "error", "reset", "refused"])
-async def test_client_that_disconnects_as_its_request_is_about_to_be_sent(
+async def test_request_whose_client_disconnects_before_the_send_is_not_sent(
     first_result, backends, proxy, client
 ):
     """For the first time, or for a retry after a failed attempt."""
@@ -120,7 +120,7 @@
     await assert_disconnect_left_nothing(proxy, backends, *seen)
 
 
-async def test_client_that_disconnects_as_its_second_request_is_about_to_be_sent(backends, proxy, client):
+async def test_second_request_followed_by_its_clients_disconnect_is_not_forwarded(backends, proxy, client):
     client.send(request("post", "first"))
     assert (await client.read_response()).startswith(b"HTTP/1.1 200")
     client.send(request("post", "abandoned"))
@@ -128,9 +128,7 @@
     await assert_disconnect_left_nothing(proxy, backends, "first")
 
 
-async def test_client_that_disconnects_with_a_pipelined_request_about_to_be_sent(
-    backends, proxy, client, monkeypatch
-):
+async def test_pipelined_request_whose_client_disconnects_is_not_sent(backends, proxy, client, monkeypatch):
     """As the first response is written; the second request waits for the next turn."""
     respond = ServerConnection.respond
 
@@ -149,7 +147,9 @@
 
 @pytest.mark.parametrize("reuse", [pytest.param(False, id="new connections")])
 @pytest.mark.parametrize("first_result", ["none", "declined"])
-async def test_client_that_disconnects_as_its_attempt_has_connected(first_result, backends, proxy, client):
+async def test_request_whose_client_disconnects_at_the_connect_is_not_sent(
+    first_result, backends, proxy, client
+):
     """For a first attempt and for a retry."""
     disconnect_at_connection(proxy, 1 if first_result == "none" else 2, client)
     client.send(request("read", "abandoned"))
@@ -187,7 +187,7 @@
         assert (proxy.requests.open_count, backends.request_ids) == (0, ["next"])
 
 
-async def test_client_that_ends_its_sending_and_reads_no_response_is_disconnected(monkeypatch):
+async def test_client_that_half_closes_and_reads_no_response_is_disconnected(monkeypatch):
     """asyncio keeps such a connection until all is read: its loss would never be reported."""
     monkeypatch.setattr("loadbalancer.http.request_timeouts.UNREAD_TIMEOUT_S", 0.0)
     monkeypatch.setattr("loadbalancer.http.request_timeouts.LINGER_TIMEOUT_S", 0.0)
--- a/tests/proxy/test_connection_limits.py
+++ b/tests/proxy/test_connection_limits.py
@@ -79,7 +79,7 @@
         assert (await client.read_response()).status == 503
 
 
-async def test_request_takes_the_place_of_a_connection_that_has_just_become_idle(proxy):
+async def test_request_evicts_a_connection_that_has_just_become_idle(proxy):
     """A request needs no grace period of idle connections to end, unlike a mere connection."""
     stop_listener_clock(proxy)
     clients = [await HttpClient.to(proxy) for _ in range(proxy.listener.limit)]
--- a/tests/proxy/test_connection_pool.py
+++ b/tests/proxy/test_connection_pool.py
@@ -81,7 +81,7 @@
         await until(lambda: not pool.size)
 
 
-async def test_drain_withdraws_connecting_attempts_and_closes_idle_connections(pool):
+async def test_drain_fails_connecting_attempts_and_closes_idle_connections(pool):
     with unaccepting_listener() as listener:
         pool.add("s", socket_address(listener))
         outcome = asyncio.create_task(attempt_result(pool))
--- a/tests/proxy/test_connection_state.py
+++ b/tests/proxy/test_connection_state.py
@@ -47,7 +47,7 @@
         pass
 
 
-async def test_write_that_fails_at_once_has_not_been_written():
+async def test_request_whose_write_fails_at_once_counts_as_not_written():
     async with connected_pair() as (connection, remote):
         close_by_reset(remote)
         wait_for_unread_data(connection)
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize("read", [pytest.param(False, id="unread"), pytest.param(True, id="read")])
-async def test_buffered_request_counts_as_written_once_it_has_left(read):
+async def test_buffered_request_counts_as_written_once_the_kernel_has_it(read):
     async with connected_pair() as (connection, remote):
         transport = connection._transport
         assert transport is not None
--- a/tests/proxy/test_endpoint_updates.py
+++ b/tests/proxy/test_endpoint_updates.py
@@ -109,7 +109,7 @@
         assert set(proxy.policy.endpoints.by_name) == {"s9"}
 
 
-async def test_drain_withdraws_connecting_attempts_for_a_retry(backend, proxy):
+async def test_drain_fails_connecting_attempts_so_that_they_are_retried(backend, proxy):
     scripted = script_policy(proxy, policy_sending_to("s0", "s0"))
     BlockedConnects(proxy)  # never unblocked: no connection is established
     client = await HttpClient.to(proxy)
@@ -122,7 +122,7 @@
     assert backend.received == []
 
 
-async def test_ready_only_with_an_endpoint_to_send_to():
+async def test_proxy_is_ready_only_with_a_ready_endpoint():
     discovery = ScriptedDiscovery(endpoint_list_response(5, True, s9=READY))
     async with running_proxy(discovery=discovery) as proxy:
         assert (await send_request(proxy, READINESS_REQUEST)).status == 503
--- a/tests/proxy/test_event_loop_turns.py
+++ b/tests/proxy/test_event_loop_turns.py
@@ -82,7 +82,7 @@
 
 
 @pytest.mark.parametrize("piece_bytes", [64, 1400, MAX_ENDPOINT_LIST_BYTES])
-async def test_endpoint_list_costs_in_proportion_to_its_length(piece_bytes):
+async def test_cost_of_an_endpoint_list_is_proportional_to_its_length(piece_bytes):
     short, long = [await calls_for_list(count, piece_bytes) for count in (ENDPOINTS, FACTOR * ENDPOINTS)]
     assert long < 1.25 * FACTOR * short
 
--- a/tests/proxy/test_forwarding.py
+++ b/tests/proxy/test_forwarding.py
@@ -132,7 +132,7 @@
         assert not scripted.events_of(ClientDisconnected)
 
 
-async def test_attempt_past_the_deadline_is_not_sent_and_touches_no_socket(backend, proxy):
+async def test_attempt_past_the_deadline_is_not_sent_and_opens_no_connection(backend, proxy):
     send_twice = acting_on(
         lambda event: 2 * [Send(event.request_id, "s0")], lambda event: [Reject(event.request_id)]
     )
--- a/tests/proxy/test_graceful_shutdown.py
+++ b/tests/proxy/test_graceful_shutdown.py
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.usefixtures("short_shutdown")
-async def test_request_read_after_the_end_of_the_others_is_rejected_at_once():
+async def test_request_received_after_the_others_have_ended_is_rejected_at_once():
     server = StalledBackend()
     late_request = request("post", "late")
     async with running_proxy(server) as proxy:
@@ -98,7 +98,7 @@
 
 
 @pytest.mark.usefixtures("short_shutdown")
-async def test_request_half_read_when_the_shutdown_starts_is_served(monkeypatch):
+async def test_request_partially_received_when_the_shutdown_starts_is_served(monkeypatch):
     monkeypatch.setattr(graceful_shutdown, "EXIT_MARGIN_S", 20.0)
     monkeypatch.setattr(graceful_shutdown, "CLOSING_PHASE_S", 20.0)
     server = StalledBackend()
--- a/tests/proxy/test_main.py
+++ b/tests/proxy/test_main.py
@@ -131,7 +131,7 @@
         assert await asyncio.to_thread(proxy.program.wait) == 0
 
 
-async def test_sighup_follows_another_discovery_address_and_a_bad_file_changes_nothing(tmp_path):
+async def test_sighup_applies_another_discovery_address_and_ignores_a_bad_file(tmp_path):
     changes = endpoint_list_response(7, True, s0=("127.0.0.1:9", "Ready"))
     async with ScriptedDiscovery(changes) as first, ScriptedDiscovery() as second:
         path = write_config(tmp_path, config_document(first.endpoint))
@@ -150,7 +150,7 @@
             assert program.returncode == 0
 
 
-def test_sigterm_before_the_configuration_is_read_shuts_down_in_order(tmp_path):
+def test_sigterm_before_the_configuration_is_read_shuts_down_cleanly(tmp_path):
     """The file is a pipe: the proxy, with its signal handlers set, waits for it when the signal comes."""
     path = tmp_path / "config.json"
     os.mkfifo(path)
@@ -163,7 +163,7 @@
         assert "Traceback" not in log
 
 
-async def test_sighup_during_the_shutdown_is_followed(tmp_path):
+async def test_sighup_during_the_shutdown_is_applied(tmp_path):
     address = free_address()
     async with StalledBackend() as hung, ScriptedDiscovery() as first, ScriptedDiscovery() as second:
         document = config_document(first.endpoint, known=targets(s0=(hung.endpoint, "Ready")))
--- a/tests/proxy/test_policy_events.py
+++ b/tests/proxy/test_policy_events.py
@@ -67,7 +67,7 @@
     proxy.policy_runner.cancel_timer(PERIOD_TIMER)  # the next period ends when the test says so
 
 
-async def test_cursor_move_waits_until_its_effect_shows_in_the_latencies(clock):
+async def test_cursor_move_waits_until_the_latencies_show_the_effect_of_the_last_one(clock):
     """Otherwise every period moves right on responses from before, and sustainable load is rejected."""
     async with running_proxy(backend := StalledBackend()) as proxy:
         proxy.policy_runner.cancel_timer(PERIOD_TIMER)
--- a/tests/proxy/test_start.py
+++ b/tests/proxy/test_start.py
@@ -54,7 +54,9 @@
 @pytest.mark.parametrize("outage", ["refuses", "does not accept", "does not respond"])
 @pytest.mark.parametrize("mode", ["push", "ask"])
 @pytest.mark.parametrize("known", ["outdated", "empty"])
-async def test_proxy_started_while_discovery_is_down(tmp_path, outage, mode, known):
+async def test_proxy_that_starts_in_a_discovery_outage_serves_its_known_endpoints(
+    tmp_path, outage, mode, known
+):
     """With an outdated list it is ready and serves; with an empty one, once discovery is back."""
     async with LoopbackServer() as old_endpoint:
         removed = "{}:{}".format(*free_address())
--- a/tests/proxy/test_upstream_attempt.py
+++ b/tests/proxy/test_upstream_attempt.py
@@ -47,7 +47,7 @@
         pytest.param(b"not http at all\r\n\r\n", AttemptResult.RESET, id="no HTTP"),
     ],
 )
-async def test_response_gives_the_result_of_the_protocol(response, expected, pool):
+async def test_response_determines_the_result_of_its_attempt(response, expected, pool):
     async with LoopbackServer(always(response)) as server:
         pool.add("s", server.address)
         assert await attempt_result(pool) is expected
--- a/tests/proxy/test_watch_races.py
+++ b/tests/proxy/test_watch_races.py
@@ -93,7 +93,7 @@
 )
 @pytest.mark.parametrize("first", [pytest.param(True, id="first poll"), pytest.param(False, id="later poll")])
 @in_model_time
-async def test_silent_watch_is_reopened_at_once(first, sent_before):
+async def test_watch_that_does_not_respond_is_reopened_at_once(first, sent_before):
     async with watching_proxy() as (proxy, discovery):
         if not first:
             (await discovery.next_poll()).respond(7)
@@ -169,7 +169,7 @@
 
 
 @in_model_time
-async def test_hangup_with_the_same_discovery_address_reopens_the_watch():
+async def test_sighup_with_the_same_discovery_address_reopens_the_watch():
     """The open watch may have fallen silent, and a change that it missed counts as notified in 4 s."""
     async with watching_proxy() as (proxy, discovery):
         (await discovery.next_poll()).respond(7)
@@ -209,7 +209,7 @@
     ],
 )
 @in_model_time
-async def test_unreadable_list_is_one_log_line_and_a_new_watch(malformed, caplog):
+async def test_malformed_list_is_logged_once_and_watched_again(malformed, caplog):
     async with watching_proxy() as (proxy, discovery):
         (await discovery.next_poll()).respond(7)
         poll = await discovery.next_poll()
