--- a/tests/proxy/conftest.py
+++ b/tests/proxy/conftest.py
@@ -1,4 +1,4 @@
-"""A connection pool, a clock that a test advances, and whether attempts can be cancelled."""
+"""Fixtures: a connection pool, a clock that a test advances, and whether attempts can be cancelled."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @pytest.fixture
 async def clock():
-    """The event loop's clock; a test requests it before the objects that keep the loop's clock."""
+    """The event loop's clock; request it before the objects that store the loop's `time` method."""
     return AdjustableClock()
 
 
--- a/tests/proxy/test_attempt_races.py
+++ b/tests/proxy/test_attempt_races.py
@@ -1,4 +1,4 @@
-"""Attempts and connections that cross with other events on real connections: docs/races.md."""
+"""Races of attempts with other events, on real connections; docs/races.md lists them."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 async def test_late_second_response_is_not_served_to_the_next_request(monkeypatch):
-    """The proxy writes the next request while a second response to the one before is under way."""
+    """A duplicate response to the previous request arrives when the next request has already been sent."""
     monkeypatch.setattr("loadbalancer.proxy.connection_pool.REUSE_DELAY_S", 60.0)
     server = ManualServer()
     async with running_proxy(server) as proxy:
@@ -61,7 +61,7 @@
 
 
 async def start_blocked_request(proxy: Proxy, allowed: int = 0) -> tuple[BlockedConnects, HttpClient]:
-    """Send the request `left`, and wait until an attempt connects after the first `allowed` attempts."""
+    """Send the request `left`, and wait until a connect of its attempts is blocked."""
     blocked = BlockedConnects(proxy, allowed)
     client = await HttpClient.to(proxy)
     client.writer.write(request("post", "left"))
@@ -93,8 +93,8 @@
 
 
 async def test_retry_whose_client_disconnects_while_it_connects_is_not_sent(can_cancel):
-    full, other = LoopbackServer(always(response_bytes(503, Srv_Declined="1"))), LoopbackServer()
-    async with running_proxy(full, other, bounds={"cancel": can_cancel}) as proxy:
+    rejecting, other = LoopbackServer(always(response_bytes(503, Srv_Declined="1"))), LoopbackServer()
+    async with running_proxy(rejecting, other, bounds={"cancel": can_cancel}) as proxy:
         scripted = script_policy(proxy, policy_sending_to("s0", "s1"))
         blocked, client = await start_blocked_request(proxy, allowed=1)
         client.writer.close()
@@ -121,7 +121,7 @@
 
 
 def fill_connections(proxy: Proxy) -> None:
-    """Have the proxy's connections to endpoints accept no more bytes once they are established."""
+    """Fill the send buffer of each new connection to an endpoint, so that further bytes are not sent."""
     connect = proxy.pool.connect
 
     async def connect_and_fill(address: Address) -> ClientConnection:
@@ -137,7 +137,7 @@
 
 
 async def test_partially_written_request_whose_client_disconnects_is_not_sent(can_cancel):
-    """The server accepts no more bytes: the rest waits in the proxy."""
+    """The kernel accepts no more bytes, so that the request waits in the proxy's write buffer."""
     server = ManualServer()
     async with running_proxy(server, bounds={"cancel": can_cancel}) as proxy:
         scripted = script_policy(proxy, policy_sending_to("s0"))
@@ -166,7 +166,7 @@
             connection = await connect(address)
             downstream = proxy.requests.by_id["left"].http_request.connection
             assert isinstance(downstream, ServerConnection)
-            downstream.abort()  # once the attempt has its connection, and before anything is written to it
+            downstream.abort()  # after the connect and before anything is written
             downstream.connection_lost(None)
             return connection
 
@@ -177,7 +177,7 @@
 
 
 async def test_cancelled_attempt_has_ended_before_the_next_one_is_sent():
-    """In the same turn of the loop, in which asyncio has not closed the first one's socket yet."""
+    """The endpoint receives the end of stream before asyncio closes the socket in the next iteration."""
     with socket.create_server(("127.0.0.1", 0)) as server, contextlib.closing(make_pool()) as pool:
         pool.add("s", socket_address(server))
         attempt = start_attempt(pool, "s", lambda *_: None, request(), 60.0)
@@ -186,7 +186,7 @@
         with accepted:
             assert accepted.recv(10_000) == request()
             attempt.cancel()
-            assert accepted.recv(1) == b""  # the event loop has had no turn
+            assert accepted.recv(1) == b""  # in the same iteration of the event loop
 
 
 async def test_keyed_retry_that_connects_after_the_deduplication_window_is_not_sent(clock):
@@ -203,7 +203,7 @@
         client = await HttpClient.to(proxy)
         response = asyncio.ensure_future(client.send(request("move", "q1", Idempotency_Key="k")))
         await until(lambda: blocked.connect_count == 2)
-        clock.advance(DEDUPLICATION_WINDOW_S)  # the endpoints may have forgotten the key
+        clock.advance(DEDUPLICATION_WINDOW_S)  # the endpoints may have deleted the key
         blocked.unblock.set()
         assert (await response).status == 502
         await until(lambda: not proxy.pool._connecting)
--- a/tests/proxy/test_client_disconnects.py
+++ b/tests/proxy/test_client_disconnects.py
@@ -1,7 +1,6 @@
-"""A client that has closed its connection is disconnected, also where its end of stream is still unread.
+"""Requests of disconnected clients are not sent, even while the end of stream is still unread.
 
-Each client disconnects at a moment that an event gives, with no turn of the event loop between that and the
-sending of an attempt.
+Each client disconnects at a given event, without an iteration of the event loop before the attempt is sent.
 """
 
 from __future__ import annotations
@@ -31,12 +30,12 @@
 
 @pytest.fixture(autouse=True)
 def immediate_reuse(monkeypatch):
-    """A connection may be reused right after its response."""
+    """Connections can be reused right after a response."""
     monkeypatch.setattr("loadbalancer.proxy.connection_pool.REUSE_DELAY_S", 0.0)
 
 
 def has_ended_all(proxy: Proxy) -> bool:
-    """Whether the proxy has no request, is not connecting, and its policy counts no attempt in flight."""
+    """Whether the proxy has no request and no connect, and its policy counts no attempt in flight."""
     in_flight = [endpoint.in_flight for endpoint in proxy.policy.endpoints.by_name.values()]
     return (
         proxy.requests.open_count == 0
@@ -46,12 +45,12 @@
     )
 
 
-async def assert_disconnect_left_nothing(proxy: Proxy, backends: FailingFirstAttempt, *seen: str) -> None:
-    """No further attempt was sent; the counters are right; and the next request is served."""
+async def assert_disconnect_handled(proxy: Proxy, backends: FailingFirstAttempt, *sent_ids: str) -> None:
+    """Only these requests have been sent, the counters are correct, and the next request is served."""
     await until(lambda: has_ended_all(proxy))
     assert not proxy.policy.requests.open_requests
     assert (await send_request(proxy, request("post", "next"))).status == 200
-    assert sorted(backends.request_ids) == sorted([*seen, "next"])
+    assert sorted(backends.request_ids) == sorted([*sent_ids, "next"])
     statistics = proxy.statistics
     assert statistics.client_disconnects == 1
     assert statistics.attempts["cancelled"] == 0
@@ -76,7 +75,7 @@
 
 @pytest.fixture
 def first_result():
-    """The result of the first attempt; "none": it succeeds. A test with other results overrides it."""
+    """The result of the first attempt; "none" for a success. Tests with other results override it."""
     return "none"
 
 
@@ -102,22 +101,22 @@
 
 
 async def test_request_followed_by_its_clients_disconnect_is_not_forwarded(backends, proxy, client):
-    """Read in one turn of a late event loop: the request, and with it or behind it the end of stream."""
+    """A late event loop receives the request and its client's end of stream in one iteration."""
     client.send(request("post", "abandoned"))
     client.disconnect()
-    await assert_disconnect_left_nothing(proxy, backends)
+    await assert_disconnect_handled(proxy, backends)
 
 
 @pytest.mark.parametrize("first_result", ["none", "declined", "error", "reset", "refused"])
 async def test_request_whose_client_disconnects_before_the_send_is_not_sent(
     first_result, backends, proxy, client
 ):
-    """For the first time, or for a retry after a failed attempt."""
+    """Before the first attempt, or before a retry after a failed attempt."""
     disconnect_at_send(proxy, 1 if first_result == "none" else 2, client)
     client.send(request("post" if first_result == "none" else "read", "abandoned"))
     await until(lambda: client.disconnected)
-    seen = [] if first_result in ("none", "refused") else ["abandoned"]
-    await assert_disconnect_left_nothing(proxy, backends, *seen)
+    sent_ids = [] if first_result in ("none", "refused") else ["abandoned"]
+    await assert_disconnect_handled(proxy, backends, *sent_ids)
 
 
 async def test_second_request_followed_by_its_clients_disconnect_is_not_forwarded(backends, proxy, client):
@@ -125,11 +124,11 @@
     assert (await client.read_response()).startswith(b"HTTP/1.1 200")
     client.send(request("post", "abandoned"))
     client.disconnect()
-    await assert_disconnect_left_nothing(proxy, backends, "first")
+    await assert_disconnect_handled(proxy, backends, "first")
 
 
 async def test_pipelined_request_whose_client_disconnects_is_not_sent(backends, proxy, client, monkeypatch):
-    """As the first response is written; the second request waits for the next turn."""
+    """The first response is being written; the second request is handled in the next iteration."""
     respond = ServerConnection.respond
 
     def respond_and_disconnect(connection, http_request, *response):
@@ -142,7 +141,7 @@
         client.send(request("post", "first") + request("post", "abandoned"))
         await until(lambda: client.disconnected)
         await until(lambda: has_ended_all(proxy) and not proxy.listener.connections)
-    await assert_disconnect_left_nothing(proxy, backends, "first")
+    await assert_disconnect_handled(proxy, backends, "first")
 
 
 @pytest.mark.parametrize("reuse", [pytest.param(False, id="new connections")])
@@ -150,18 +149,18 @@
 async def test_request_whose_client_disconnects_at_the_connect_is_not_sent(
     first_result, backends, proxy, client
 ):
-    """For a first attempt and for a retry."""
+    """For the first attempt and for a retry."""
     disconnect_at_connection(proxy, 1 if first_result == "none" else 2, client)
     client.send(request("read", "abandoned"))
     await until(lambda: client.disconnected)
-    seen = [] if first_result == "none" else ["abandoned"]
-    await assert_disconnect_left_nothing(proxy, backends, *seen)
+    sent_ids = [] if first_result == "none" else ["abandoned"]
+    await assert_disconnect_handled(proxy, backends, *sent_ids)
 
 
 async def test_client_whose_end_of_stream_has_been_read_is_disconnected_before_the_close(
     can_cancel, monkeypatch
 ):
-    """asyncio reports the end of stream in one turn, and the connection's loss in the next."""
+    """asyncio reports the end of stream in one iteration and the lost connection in the next."""
     backends = FailingFirstAttempt("none")
     async with running_proxy(*backends.servers, bounds={"cancel": can_cancel}) as proxy:
         await backends.open_connections(proxy)
@@ -188,7 +187,7 @@
 
 
 async def test_client_that_half_closes_and_reads_no_response_is_disconnected(monkeypatch):
-    """asyncio keeps such a connection until all is read: its loss would never be reported."""
+    """asyncio keeps such a connection open until all data is read, and would never report its loss."""
     monkeypatch.setattr("loadbalancer.http.request_timeouts.UNREAD_TIMEOUT_S", 0.0)
     monkeypatch.setattr("loadbalancer.http.request_timeouts.LINGER_TIMEOUT_S", 0.0)
     async with running_proxy(LoopbackServer(always(response_bytes(200, LARGE_BODY)))) as proxy:
@@ -210,15 +209,15 @@
 
 
 class PipeliningClient(DisconnectingClient):
-    """Sends more in place of disconnecting."""
+    """Sends further bytes instead of disconnecting."""
 
-    def __init__(self, proxy: Proxy, more: bytes) -> None:
+    def __init__(self, proxy: Proxy, data: bytes) -> None:
         super().__init__(proxy, "")
-        self._more = more
+        self._data = data
 
     def disconnect(self) -> None:
         self.disconnected = True
-        self.send(self._more)
+        self.send(self._data)
 
 
 SECOND_REQUEST = request("post", "second")
--- a/tests/proxy/test_clock.py
+++ b/tests/proxy/test_clock.py
@@ -1,4 +1,4 @@
-"""The clock from which the policy's time is taken."""
+"""The clock that gives the policy its time."""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_config.py
+++ b/tests/proxy/test_config.py
@@ -1,4 +1,4 @@
-"""The configuration file's fields, and the errors that name the one at fault."""
+"""The fields of the configuration file, and errors that name the invalid one."""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_connection_limits.py
+++ b/tests/proxy/test_connection_limits.py
@@ -1,4 +1,4 @@
-"""More connections and requests than the proxy may have open."""
+"""Connections and requests over the proxy's limits."""
 
 from __future__ import annotations
 
@@ -51,9 +51,9 @@
 
 async def test_burst_of_connections_keeps_to_the_descriptor_limit(proxy):
     with contextlib.ExitStack() as stack:
-        gc.collect()  # a collection while this test counts could close descriptors of earlier tests
+        gc.collect()  # a collection during the count could close descriptors of earlier tests
         before = open_descriptors()
-        # All are in the kernel's queue before the proxy has a turn.
+        # All are in the kernel's queue before the next iteration of the event loop.
         burst = [stack.enter_context(socket.create_connection(proxy.listener.address)) for _ in range(200)]
         burst[-1].sendall(request())
         peak = 0
@@ -80,7 +80,7 @@
 
 
 async def test_request_evicts_a_connection_that_has_just_become_idle(proxy):
-    """A request needs no grace period of idle connections to end, unlike a mere connection."""
+    """The grace period of idle connections applies to evictions for a new connection only."""
     stop_listener_clock(proxy)
     clients = [await HttpClient.to(proxy) for _ in range(proxy.listener.limit)]
     for index, client in enumerate(clients):
--- a/tests/proxy/test_connection_pool.py
+++ b/tests/proxy/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""Pooled connections: which of them are reused, when they are closed, and how many there are."""
+"""Pooled connections: which are reused, when they are closed, and how many there are."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
     old, new = endpoint.idle
     assert pool.acquire_idle(endpoint) is new
     pool.release(endpoint, new)
-    for connection in endpoint.idle:  # 5 of the endpoint's 10 seconds have passed
+    for connection in endpoint.idle:  # 5 s of the endpoint's idle time-out of 10 s have passed
         connection.idle_since -= 5.0
     assert await attempt_result(pool) is AttemptResult.OK
     assert backend.connections == 3
@@ -71,7 +71,7 @@
     assert await attempt_result(pool) is AttemptResult.OK
     assert await attempt_result(pool) is AttemptResult.OK
     assert backend.connections == connections
-    assert len(pool.get("s").idle) == connections  # those that are not reusable yet stay pooled
+    assert len(pool.get("s").idle) == connections  # connections that are not reusable yet stay in the pool
 
 
 async def test_idle_connections_are_closed_in_time(backend):
@@ -115,7 +115,7 @@
             start_attempt(pool, "busy", lambda result, _: results.append(result))
         assert idle.idle == []
         await until(lambda: results)
-        assert results == [AttemptResult.CONNECT_FAILED]  # the third: all connections are busy
+        assert results == [AttemptResult.CONNECT_FAILED]  # the third attempt: all connections are in use
         stalled_backend.release.set()
         await until(lambda: len(results) == 3)
         assert results[1:] == [AttemptResult.OK, AttemptResult.OK]
--- a/tests/proxy/test_connection_state.py
+++ b/tests/proxy/test_connection_state.py
@@ -1,4 +1,4 @@
-"""Whether a client connection counts a request as written, and whether it can be reused."""
+"""When a client connection counts a request as written, and when it can be reused."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @contextlib.asynccontextmanager
 async def connected_pair() -> AsyncIterator[tuple[ClientConnection, socket.socket]]:
-    """A connection and the blocking socket at its other end, which acts without the event loop."""
+    """A connection and the blocking socket of its peer, which does not need the event loop."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         _, connection = await asyncio.get_running_loop().create_connection(
             lambda: ClientConnection(lambda _: None), *listener.getsockname()
@@ -41,7 +41,7 @@
 
 
 def wait_for_unread_data(connection: ClientConnection) -> None:
-    """Wait, without a turn of the event loop, until the kernel has bytes, an end of stream or a reset."""
+    """Block the event loop until the kernel has received bytes, an end of stream or a reset."""
     assert connection._transport is not None
     while not has_unread_data(connection._transport):
         pass
@@ -62,7 +62,7 @@
         assert connection.reusable
         remote.close()
         wait_for_unread_data(connection)
-        assert not connection.reusable  # though the event loop has had no turn to report it
+        assert not connection.reusable  # although the event loop has not reported it yet
 
 
 @pytest.mark.parametrize("read", [pytest.param(False, id="unread"), pytest.param(True, id="read")])
--- a/tests/proxy/test_descriptor_limits.py
+++ b/tests/proxy/test_descriptor_limits.py
@@ -1,4 +1,4 @@
-"""Idle clients use up the descriptors while discovery is down; the proxy gets the list once that is back."""
+"""Idle clients must not use up the descriptors that the proxy needs for discovery after an outage."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 from tests.support.sockets import start_connect
 
 PARTIAL_REQUEST = b"GET /read/1 HTTP/1.1\r\nReq-Id: half\r\n"
-BURST_SIZE = 500  # idle clients that connect between two turns of the proxy's loop: the kernel queues 1024
+BURST_SIZE = 500  # idle clients that connect between two iterations of the event loop: the kernel queues 1024
 BURSTS = 3
 RECONNECTING_CLIENTS = 150  # more than the smallest limit allows
 
 
 @pytest.fixture(autouse=True)
 def descriptors_for_clients() -> Iterator[None]:
-    """The clients are this process's; only the proxy is limited to few descriptors."""
+    """Raise the limit of this process, which has the clients; only the proxy has few descriptors."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (max(soft, min(hard, 8192)), hard))
     yield
@@ -42,7 +42,7 @@
 
 
 class IdleClients:
-    """Clients that connect and send no more than `data`; an asynchronous context manager that closes them."""
+    """Clients that connect and send `data` only; an asynchronous context manager that closes them."""
 
     def __init__(self, address: Address, data: bytes) -> None:
         self._address = address
@@ -69,7 +69,7 @@
         self._sockets += clients
 
     def reconnect(self) -> None:
-        """Start clients that connect again whenever they are closed."""
+        """Start clients that reconnect whenever their connection is closed."""
         self._tasks = [asyncio.create_task(self._reconnect()) for _ in range(RECONNECTING_CLIENTS)]
 
     async def _reconnect(self) -> None:
@@ -83,46 +83,46 @@
 
 @dataclass(frozen=True)
 class Case:
-    """How the descriptors are used up.
+    """How clients use up the descriptors.
 
     Attributes:
-        descriptors: the limit of the process.
-        outage: what discovery's address does meanwhile.
-        data: what idle clients send.
-        before: clients from before them; "busy": their requests in flight use up the connections to clients
-            and to endpoints; "slow": they have had a response and are in the middle of a request.
-        reconnecting: whether idle clients connect again whenever they are closed.
+        descriptors: the descriptor limit of the proxy.
+        outage: the kind of discovery's outage, as in `DiscoveryOutage`.
+        data: the bytes that each idle client sends.
+        earlier: clients that connect before the idle ones; "busy": their requests in flight use up the
+            connections to clients and to endpoints; "slow": they are in the middle of their second request.
+        reconnecting: whether idle clients reconnect whenever their connection is closed.
     """
 
     descriptors: int
     outage: str
     data: bytes = b""
-    before: str = ""
+    earlier: str = ""
     reconnecting: bool = False
 
 
 CASES = [
-    pytest.param(Case(256, "refuses"), id="256, silent clients"),
+    pytest.param(Case(256, "refuses"), id="256, idle clients"),
     pytest.param(Case(256, "does not accept", reconnecting=True), id="256, reconnecting clients"),
-    pytest.param(Case(256, "does not respond", PARTIAL_REQUEST), id="256, half requests"),
-    pytest.param(Case(256, "refuses", PARTIAL_REQUEST, "busy"), id="256, half requests beside busy clients"),
-    pytest.param(Case(256, "does not respond", before="slow"), id="256, silent clients beside slow ones"),
-    pytest.param(Case(768, "does not respond", before="busy"), id="768, silent clients beside busy ones"),
-    pytest.param(Case(1024, "refuses", before="busy"), id="1024, silent clients beside busy ones"),
+    pytest.param(Case(256, "does not respond", PARTIAL_REQUEST), id="256, partial requests"),
+    pytest.param(Case(256, "refuses", PARTIAL_REQUEST, "busy"), id="256, busy clients and partial requests"),
+    pytest.param(Case(256, "does not respond", earlier="slow"), id="256, slow and idle clients"),
+    pytest.param(Case(768, "does not respond", earlier="busy"), id="768, busy and idle clients"),
+    pytest.param(Case(1024, "refuses", earlier="busy"), id="1024, busy and idle clients"),
     pytest.param(
         Case(1024, "does not accept", PARTIAL_REQUEST, "busy", reconnecting=True),
-        id="1024, reconnecting half requests beside busy clients",
+        id="1024, busy clients and reconnecting ones with partial requests",
     ),
 ]
 
 
 @dataclass(frozen=True)
 class LimitedProxy:
-    """A proxy process with few descriptors, whose discovery is down.
+    """A proxy process with few descriptors, whose discovery is unavailable.
 
     Attributes:
         process: the process and its discovery.
-        known_endpoint: the server behind each of the endpoints that it knows.
+        known_endpoint: the server of all known endpoints.
         downstream_limit: connections to clients that it may have open.
         upstream_limit: connections to endpoints that it may have open.
     """
@@ -134,11 +134,11 @@
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
+        """The address that the proxy listens on."""
         return self.process.address
 
     async def accept_burst(self, idle: IdleClients) -> None:
-        """Have many clients connect while the proxy is stopped, and wait until all have been accepted."""
+        """Connect many clients while the proxy is stopped, and wait until all have been accepted."""
         self.process.program.send_signal(signal.SIGSTOP)
         idle.connect_burst()
         self.process.program.send_signal(signal.SIGCONT)
@@ -147,7 +147,7 @@
 
 @contextlib.asynccontextmanager
 async def limited_proxy(folder: Path, case: Case) -> AsyncIterator[LimitedProxy]:
-    """Run a proxy with few descriptors, and check at the end that its log names no lack of them."""
+    """Run a proxy with few descriptors, and check at the end that its log reports no lack of them."""
     usable = case.descriptors - RESERVED_DESCRIPTORS
     upstream_limit = int(usable * UPSTREAM_FRACTION)
     async with StalledBackend() as known_endpoint:
@@ -162,7 +162,7 @@
             yield LimitedProxy(process, known_endpoint, int(usable * DOWNSTREAM_FRACTION), upstream_limit)
             process.program.kill()
             _, log = await asyncio.to_thread(process.program.communicate)
-    assert "out of system resource" not in log  # asyncio's words for an accept that found no descriptor
+    assert "out of system resource" not in log  # logged by asyncio if an accept gets no descriptor
     assert "Too many open files" not in log
 
 
@@ -177,7 +177,7 @@
 
 
 async def connect_slow_clients(proxy: LimitedProxy) -> list[HttpClient]:
-    """Clients that have had a response, and are in the middle of a request."""
+    """Clients that are in the middle of their second request."""
     clients = [await HttpClient.connect(proxy.address) for _ in range(2 * MAX_CANDIDATES_EXAMINED)]
     for client in clients:
         assert (await client.send(READINESS_REQUEST)).status == 200
@@ -186,7 +186,7 @@
 
 
 async def connect_earlier_clients(proxy: LimitedProxy, kind: str) -> list[HttpClient]:
-    """The clients from before the idle ones, by `Case.before`."""
+    """The clients that connect before the idle ones, as `Case.earlier` says."""
     if kind == "busy":
         return await connect_busy_clients(proxy)
     return await connect_slow_clients(proxy) if kind == "slow" else []
@@ -197,7 +197,7 @@
     async with limited_proxy(tmp_path, case) as proxy, IdleClients(proxy.address, case.data) as idle:
         assert (await send_until_response(proxy.address, READINESS_REQUEST)).status == 200
         async with contextlib.AsyncExitStack() as earlier:
-            clients = await connect_earlier_clients(proxy, case.before)
+            clients = await connect_earlier_clients(proxy, case.earlier)
             for client in clients:
                 await earlier.enter_async_context(client)
             for _ in range(BURSTS):
@@ -206,17 +206,17 @@
                 idle.reconnect()
             await proxy.process.discovery.end()
             proxy.known_endpoint.release.set()
-            for client in clients if case.before == "busy" else []:
+            for client in clients if case.earlier == "busy" else []:
                 assert (await client.read_response()).status in (200, 503)
         assert (await send_until_response(proxy.address, request(name="real"))).status == 200
         assert proxy.process.discovery.new_endpoint.request_ids == ["real"]
 
 
 class WritingClients:
-    """Unidentified clients that send a byte in every turn of the event loop, so that bytes always wait.
+    """Unidentified clients of which each sends a byte in each iteration, so that bytes are always unread.
 
     Attributes:
-        peak_connections: the highest number of connections of the proxy in a turn.
+        peak_connections: the proxy's highest number of connections in an iteration.
     """
 
     def __init__(self, proxy: Proxy, clients: list[HttpClient]) -> None:
@@ -248,7 +248,7 @@
 
 
 async def test_unidentified_clients_that_keep_writing_do_not_let_connections_grow(proxy):
-    """If bytes wait on every connection that could be closed, a new one is closed unread."""
+    """If each connection that could be evicted has unread bytes, a new one is closed without being read."""
     listener = proxy.listener
     writing = WritingClients(proxy, [await HttpClient.to(proxy) for _ in range(listener.limit)])
     await until(lambda: len(listener.connections) == listener.limit)
--- a/tests/proxy/test_endpoint_updates.py
+++ b/tests/proxy/test_endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Endpoint lists on their way from discovery to the policy and the connection pool."""
+"""Endpoint lists and their updates, from discovery to the policy and the connection pool."""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_event_loop_turns.py
+++ b/tests/proxy/test_event_loop_turns.py
@@ -1,4 +1,4 @@
-"""The cost of one turn of the event loop, in function calls: it grows no faster than the input."""
+"""The cost of one iteration of the event loop, in function calls, grows no faster than its input."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from tests.support.proxy_config import config
 
 ENDPOINTS = 250
-FACTOR = 8
+GROWTH_FACTOR = 8
 
 
 class ListReceiver:
@@ -38,17 +38,17 @@
         raise AssertionError
 
 
-def count_calls(act: Callable[[], None]) -> int:
-    """The number of calls of Python's and C's functions that this makes."""
+def count_calls(action: Callable[[], None]) -> int:
+    """The number of calls of Python and C functions that an action makes."""
     count = 0
 
-    def note(_frame: object, event: str, _arg: object) -> None:
+    def count_call(_frame: object, event: str, _arg: object) -> None:
         nonlocal count
         count += event in ("call", "c_call")
 
-    sys.setprofile(note)
+    sys.setprofile(count_call)
     try:
-        act()
+        action()
     finally:
         sys.setprofile(None)
     return count
@@ -59,7 +59,7 @@
 
 
 async def calls_for_list(endpoint_count: int, piece_bytes: int) -> int:
-    """Calls to receive a list that replaces every endpoint, in pieces of this length."""
+    """Function calls to receive a list that replaces all endpoints, in pieces of this length."""
     known, new = endpoints("old", endpoint_count, 9), endpoints("new", endpoint_count, 10)
     data = endpoint_list_response(2, True, **new)
     async with ScriptedDiscovery() as discovery:
@@ -83,12 +83,14 @@
 
 @pytest.mark.parametrize("piece_bytes", [64, 1400, MAX_ENDPOINT_LIST_BYTES])
 async def test_cost_of_an_endpoint_list_is_proportional_to_its_length(piece_bytes):
-    short, long = [await calls_for_list(count, piece_bytes) for count in (ENDPOINTS, FACTOR * ENDPOINTS)]
-    assert long < 1.25 * FACTOR * short
+    short, long = [
+        await calls_for_list(count, piece_bytes) for count in (ENDPOINTS, GROWTH_FACTOR * ENDPOINTS)
+    ]
+    assert long < 1.25 * GROWTH_FACTOR * short
 
 
 async def calls_for_head(size_bytes: int) -> int:
-    """Calls to receive a request's head of this length, which is too long."""
+    """Function calls to receive a request head of this length, which is over the limit."""
     async with running_proxy(LoopbackServer()) as proxy:
         client = await HttpClient.to(proxy)
         await until(lambda: proxy.listener.connections)
--- a/tests/proxy/test_forwarding.py
+++ b/tests/proxy/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Requests on their way to endpoints and back: what is sent, what is retried, what is never sent."""
+"""Forwarding of requests: what is sent to endpoints, what is retried and what is never sent."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
         proxy, request("post", "q7", b'{"a":1}', Req_Deadline_Ms="9000", Idempotency_Key="k1")
     )
     assert (response.status, response.body) == (200, b"posted")
-    seen = backend.received[0]
-    assert seen.start_line == ["POST", "/post/7f3a?x=1", "HTTP/1.1"]
-    assert seen.body == b'{"a":1}'
-    assert (seen.headers["req-id"], seen.headers["idempotency-key"]) == ("q7", "k1")
-    assert 0 < int(seen.headers["req-deadline-ms"]) < 9000
+    received = backend.received[0]
+    assert received.start_line == ["POST", "/post/7f3a?x=1", "HTTP/1.1"]
+    assert received.body == b'{"a":1}'
+    assert (received.headers["req-id"], received.headers["idempotency-key"]) == ("q7", "k1")
+    assert 0 < int(received.headers["req-deadline-ms"]) < 9000
     assert proxy.policy.endpoints.by_name["s0"].reported_queue == 3
     assert proxy.requests.by_id == {}
 
@@ -127,7 +127,7 @@
             clock.advance(0.01)
             await asyncio.sleep(0)
         assert response.result().status == 504
-        # The policy failed the request on the time-out, before the proxy's backstop did.
+        # The policy fails the request on the time-out, before the proxy's backstop does.
         assert scripted.attempt_results == [AttemptResult.TIMEOUT]
         assert not scripted.events_of(ClientDisconnected)
 
--- a/tests/proxy/test_graceful_shutdown.py
+++ b/tests/proxy/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Requests in flight, half read or just accepted as the proxy shuts down."""
+"""Requests that are in flight, partially received or just accepted when the proxy shuts down."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 from tests.support.scripted_policy import script_policy
 from tests.support.slow_reader import LARGE_BODY, slow_reader
 
-HALF = 30  # bytes of a request, of which the head is longer
+PARTIAL_BYTES = 30  # less than the head of a request
 
 
 @pytest.fixture
 def short_shutdown(monkeypatch):
-    """A shutdown that ends requests almost at once, and then leaves clients time to read."""
+    """A shutdown that ends requests almost at once, and then gives clients time to read."""
     monkeypatch.setattr(graceful_shutdown, "ACCEPT_GRACE_S", 0.0)
     monkeypatch.setattr(graceful_shutdown, "MAX_CLIENT_TIMEOUT_S", 0.0)
     monkeypatch.setattr(graceful_shutdown, "EXIT_MARGIN_S", 0.3)
@@ -35,22 +35,22 @@
 
 @contextlib.asynccontextmanager
 async def shutting_down(proxy: Proxy) -> AsyncIterator[None]:
-    """Shut the proxy down, and wait for its end; the clients are closed within the context."""
+    """Shut the proxy down, and wait for its end; the clients have to be closed within the context."""
     shutdown = asyncio.create_task(shut_down(proxy))
     yield
     await shutdown
 
 
-async def connect_with_half_request(proxy: Proxy, data: bytes) -> HttpClient:
-    """A client in the middle of a request, which does not time out."""
+async def connect_with_partial_request(proxy: Proxy, data: bytes) -> HttpClient:
+    """A client that has sent a partial request, which does not time out."""
     stop_listener_clock(proxy)
     client = await HttpClient.to(proxy)
-    client.writer.write(data[:HALF])
+    client.writer.write(data[:PARTIAL_BYTES])
     return client
 
 
 async def connect_with_request_in_flight(proxy: Proxy, server: StalledBackend) -> HttpClient:
-    """A client whose request `held` waits for its response."""
+    """A client whose request `held` is in flight."""
     client = await HttpClient.to(proxy)
     client.writer.write(request("read", "held"))
     await until(lambda: server.received)
@@ -59,13 +59,13 @@
 
 @pytest.mark.usefixtures("short_shutdown")
 async def test_request_in_flight_at_the_end_is_rejected_if_it_is_idempotent():
-    """Its server hangs: the idempotent one is rejected, the other one may have been executed and fails."""
-    hung = StalledBackend()
-    async with running_proxy(hung) as proxy:
+    """The server does not respond; a request that is not idempotent may have been executed and fails."""
+    stalled = StalledBackend()
+    async with running_proxy(stalled) as proxy:
         safe, unsafe = await HttpClient.to(proxy), await HttpClient.to(proxy)
         safe.writer.write(request("read", "safe"))
         unsafe.writer.write(request("post", "unsafe"))
-        await until(lambda: len(hung.received) == 2)
+        await until(lambda: len(stalled.received) == 2)
         async with shutting_down(proxy), safe, unsafe:
             assert ((await safe.read_response()).status, (await unsafe.read_response()).status) == (503, 502)
             assert await safe.reader.read() == b""
@@ -89,11 +89,11 @@
     server = StalledBackend()
     late_request = request("post", "late")
     async with running_proxy(server) as proxy:
-        late = await connect_with_half_request(proxy, late_request)
+        late = await connect_with_partial_request(proxy, late_request)
         in_flight = await connect_with_request_in_flight(proxy, server)
         async with shutting_down(proxy), late, in_flight:
             assert (await in_flight.read_response()).status == 503
-            assert (await late.send(late_request[HALF:])).status == 503
+            assert (await late.send(late_request[PARTIAL_BYTES:])).status == 503
             assert server.request_ids == ["held"]
 
 
@@ -102,14 +102,14 @@
     monkeypatch.setattr(graceful_shutdown, "EXIT_MARGIN_S", 20.0)
     monkeypatch.setattr(graceful_shutdown, "CLOSING_PHASE_S", 20.0)
     server = StalledBackend()
-    half_request = request("post", "half")
+    partial_request = request("post", "half")
     async with running_proxy(server) as proxy:
-        half = await connect_with_half_request(proxy, half_request)
+        half = await connect_with_partial_request(proxy, partial_request)
         in_flight = await connect_with_request_in_flight(proxy, server)
         async with shutting_down(proxy), half, in_flight:
             idle = await HttpClient.to(proxy)
-            assert await idle.reader.read() == b""  # by now idle connections are being closed
-            half.writer.write(half_request[HALF:])
+            assert await idle.reader.read() == b""  # the shutdown has begun to close idle connections
+            half.writer.write(partial_request[PARTIAL_BYTES:])
             server.release.set()
             for client in (half, in_flight):
                 response = await client.read_response()
@@ -121,8 +121,8 @@
         running_proxy(LoopbackServer(), limits={"sockets": 132}) as proxy,
         contextlib.AsyncExitStack() as stack,
     ):
-        assert proxy.listener.accept_batch == 1  # accepting the burst takes many turns
-        script_policy(proxy, policy_sending_to("s0"))  # which refuses none
+        assert proxy.listener.accept_batch == 1  # accepting the burst takes many iterations
+        script_policy(proxy, policy_sending_to("s0"))  # which rejects no request
         address = proxy.listener.address
         burst = [stack.enter_context(socket.create_connection(address)) for _ in range(30)]
         for index, client in enumerate(burst):
@@ -147,7 +147,7 @@
         client.sendall(request("post", Connection="keep-alive" if keep_alive else "close"))
         await until(lambda: proxy.statistics.responses[200])
         assert connection.unsent_bytes
-        # All that closes connections without a request has its turn.
+        # Run all that closes connections without an open request.
         proxy.listener.timeouts.end_overdue()
         proxy.listener.close_idle_connections()
         if keep_alive:
@@ -156,5 +156,5 @@
         received = b""
         while not received.endswith(LARGE_BODY):
             part = await proxy.loop.sock_recv(client, 65536)
-            assert part, f"cut short after {len(received)} bytes"
+            assert part, f"response truncated after {len(received)} bytes"
             received += part
--- a/tests/proxy/test_main.py
+++ b/tests/proxy/test_main.py
@@ -27,7 +27,7 @@
 )
 from tests.support.proxy_config import SETTINGS, config_document
 
-# A proxy in shutdown serves on for 3.4 s and then has 59.6 s to finish, in place of 2.4 s and 1.2 s.
+# Instead of 2.4 s and 1.2 s, a proxy in shutdown serves for 3.4 s and then has 59.6 s to end its requests.
 SLOW_SHUTDOWN = (
     "from loadbalancer.proxy import graceful_shutdown as shutdown; "
     "shutdown.EXIT_MARGIN_S, shutdown.CLOSING_PHASE_S = 60.0, 59.6"
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True)
 class ServingProxy:
-    """A proxy process that is ready, with one endpoint that responds to the request `held` once released."""
+    """A ready proxy process with one endpoint, which responds to the request `held` after `release`."""
 
     program: subprocess.Popen[str]
     address: Address
@@ -102,7 +102,7 @@
 
 
 async def wait_until_not_ready(address: Address) -> Message:
-    """Returns the first response to a readiness request that is not 200."""
+    """Return the first response to a readiness request whose status is not 200."""
     while (response := await send_until_response(address, READINESS_REQUEST)).status == 200:
         pass
     return response
@@ -123,7 +123,7 @@
         response = await idle.send(request(name="kept"))  # on a connection from before the signal
         assert (response.status, response.headers.get("connection")) == (200, None)
         assert (await send_until_response(proxy.address, request(name="new"))).status == 200
-        assert await idle.reader.read() == b""  # closed between requests, in the end
+        assert await idle.reader.read() == b""  # closed by the shutdown, between two requests
         assert proxy.program.poll() is None
         proxy.release.set()
         response = await busy.read_response()
@@ -143,19 +143,19 @@
             write_config(tmp_path, config_document(second.endpoint))
             program.send_signal(signal.SIGHUP)
             await until(lambda: second.received)
-            assert "since=7&" in second.received[0].start_line[1]  # the proxy keeps the list that it has
-            await until(lambda: all(reader.at_eof() for reader in first.readers))  # the old watch is over
+            assert "since=7&" in second.received[0].start_line[1]  # the proxy keeps its list
+            await until(lambda: all(reader.at_eof() for reader in first.readers))  # the old watch is closed
             program.send_signal(signal.SIGTERM)
             await asyncio.to_thread(program.communicate)
             assert program.returncode == 0
 
 
 def test_sigterm_before_the_configuration_is_read_shuts_down_cleanly(tmp_path):
-    """The file is a pipe: the proxy, with its signal handlers set, waits for it when the signal comes."""
+    """The file is a pipe: the proxy has set its signal handlers and waits to read when the signal arrives."""
     path = tmp_path / "config.json"
     os.mkfifo(path)
     with running_program(path) as program:
-        with path.open("wb") as pipe:  # opens once the proxy has opened it too
+        with path.open("wb") as pipe:  # blocks until the proxy opens the pipe
             program.send_signal(signal.SIGTERM)
             pipe.write(orjson.dumps(config_document("127.0.0.1:1")))
         _, log = program.communicate()
@@ -177,6 +177,6 @@
                 write_config(tmp_path, document | {"discovery": second.endpoint}, address)
                 program.send_signal(signal.SIGHUP)
                 await until(lambda: second.received)
-                # At the end the proxy gives the request up; it can be sent elsewhere.
+                # At the end of the shutdown the proxy rejects the request: a client can retry it elsewhere.
                 assert (await client.read_response()).status == 503
             assert await asyncio.to_thread(program.wait) == 0
--- a/tests/proxy/test_policy_events.py
+++ b/tests/proxy/test_policy_events.py
@@ -1,4 +1,4 @@
-"""The policy as the proxy runs it: its faults, its timers, the requests that it leaves open."""
+"""The policy in the proxy: its faults, its timers, and requests for which it returns no action."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
     def act(event):
         if isinstance(event, kind):
-            raise RuntimeError("broken")
+            raise RuntimeError("fault of the scripted policy")
         return [Send(event.request_id, "s0")] if isinstance(event, IncomingRequest) else []
 
     scripted = script_policy(proxy, act)
@@ -36,7 +36,7 @@
 
     def act(event):
         if isinstance(event, TimerFired) and len(scripted.events_of(TimerFired)) == 1:
-            raise RuntimeError("broken")
+            raise RuntimeError("fault of the scripted policy")
         return []
 
     scripted = script_policy(proxy, act)
@@ -54,30 +54,30 @@
 
 
 async def complete_batch(clock, proxy, backend, latency_s):
-    """Have a batch of requests served with this latency, and end the policy's period."""
-    seen = len(backend.received)
+    """Serve a batch of requests with this latency, and end the policy's period."""
+    received = len(backend.received)
     backend.release.clear()
-    requests = [request("read", f"q{seen + index}") for index in range(BATCH_SIZE)]
+    requests = [request("read", f"q{received + index}") for index in range(BATCH_SIZE)]
     responses = asyncio.gather(*(send_request(proxy, data) for data in requests))
-    await until(lambda: len(backend.received) == seen + BATCH_SIZE)
+    await until(lambda: len(backend.received) == received + BATCH_SIZE)
     clock.advance(latency_s)
     backend.release.set()
     assert [response.status for response in await responses] == [200] * BATCH_SIZE
     proxy.policy_runner.notify(TimerFired(PERIOD_TIMER))
-    proxy.policy_runner.cancel_timer(PERIOD_TIMER)  # the next period ends when the test says so
+    proxy.policy_runner.cancel_timer(PERIOD_TIMER)  # the test decides when the next period ends
 
 
 async def test_cursor_move_waits_until_the_latencies_show_the_effect_of_the_last_one(clock):
-    """Otherwise every period moves right on responses from before, and sustainable load is rejected."""
+    """Otherwise responses from before a move cause more moves right, which reject sustainable load."""
     async with running_proxy(backend := StalledBackend()) as proxy:
         proxy.policy_runner.cancel_timer(PERIOD_TIMER)
         for _ in range(3):
             await complete_batch(clock, proxy, backend, 0.0)
         assert proxy.policy.cursor == 0
-        for _ in range(12):  # half of the objective: too slow, but not saturated
+        for _ in range(12):  # half of the objective: above the target, but not saturated
             await complete_batch(clock, proxy, backend, 10.0)
         highest = proxy.policy.cursor
         assert 0 < highest <= 12 * BATCH_SIZE / 20
         for _ in range(6):
             await complete_batch(clock, proxy, backend, 0.0)
-        assert proxy.policy.cursor < highest  # a move back to the left waits for nothing
+        assert proxy.policy.cursor < highest  # a move to the left does not wait
--- a/tests/proxy/test_request_parsing.py
+++ b/tests/proxy/test_request_parsing.py
@@ -1,4 +1,4 @@
-"""Requests as clients send them: which are parsed, and which get an error response at once."""
+"""Requests from clients: which are accepted, and which get an error response at once."""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_start.py
+++ b/tests/proxy/test_start.py
@@ -1,4 +1,4 @@
-"""The proxy's start: what it imports, and when it is ready while discovery is down."""
+"""The proxy's start: which modules it imports, and when it is ready while discovery is unavailable."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from tests.support.messages import request, targets
 from tests.support.program import READINESS_REQUEST, ROOT, free_address, send_until_response
 
-# A start is paid in processor time. What the event loop and the two libraries bring along is not counted.
-BASE = "import asyncio, dataclasses, enum, logging, re, signal, httptools, orjson"
-# Each module of the program that a start may import; one more has to be added here, and measured.
-PROGRAM = {
+# Each import costs processor time at a start. Those of the event loop and the two libraries are not counted.
+BASE_IMPORTS = "import asyncio, dataclasses, enum, logging, re, signal, httptools, orjson"
+# The modules of the program that a start may import. Measure the start when you add one.
+PROGRAM_MODULES = {
     "loadbalancer": {"__main__", "actions", "events", "platform_settings", "settings"},
     "loadbalancer.discovery": {"endpoint_list", "watch_client", "watch_timing"},
     "loadbalancer.http": {
@@ -36,28 +36,28 @@
         *("statistics", "upstream_attempt"),
     },
 }
-EXTRA = {"__future__", "_bisect", "bisect", "_random", "random", "_sha512", "_sha2", "gc", "http", "math"}
+STDLIB = {"__future__", "_bisect", "bisect", "_random", "random", "_sha512", "_sha2", "gc", "http", "math"}
 
 
 def test_start_imports_no_more_than_it_needs():
-    program = f"{BASE}; import sys; base = set(sys.modules); import loadbalancer.__main__; "
+    program = f"{BASE_IMPORTS}; import sys; base = set(sys.modules); import loadbalancer.__main__; "
     program += "print(*(set(sys.modules) - base))"
     command = [sys.executable, "-c", program]
     run = subprocess.run(command, cwd=ROOT, stdout=subprocess.PIPE, text=True, check=True)
     names = set(run.stdout.split())
-    ours = {name for name in names if name.partition(".")[0] == "loadbalancer"}
-    assert names - ours <= EXTRA
-    modules = {f"{package}.{module}" for package in PROGRAM for module in PROGRAM[package]}
-    assert ours <= modules | set(PROGRAM)
+    program_names = {name for name in names if name.partition(".")[0] == "loadbalancer"}
+    assert names - program_names <= STDLIB
+    modules = {f"{package}.{module}" for package in PROGRAM_MODULES for module in PROGRAM_MODULES[package]}
+    assert program_names <= modules | set(PROGRAM_MODULES)
 
 
 @pytest.mark.parametrize("outage", ["refuses", "does not accept", "does not respond"])
 @pytest.mark.parametrize("mode", ["push", "ask"])
 @pytest.mark.parametrize("known", ["outdated", "empty"])
-async def test_proxy_that_starts_in_a_discovery_outage_serves_its_known_endpoints(
+async def test_proxy_started_in_a_discovery_outage_is_ready_once_it_has_endpoints(
     tmp_path, outage, mode, known
 ):
-    """With an outdated list it is ready and serves; with an empty one, once discovery is back."""
+    """With an outdated list it is ready at once; with an empty one, after the outage."""
     async with LoopbackServer() as old_endpoint:
         removed = "{}:{}".format(*free_address())
         outdated = targets(removed=(removed, "Ready"), old=(old_endpoint.endpoint, "Ready"))
--- a/tests/proxy/test_statistics.py
+++ b/tests/proxy/test_statistics.py
@@ -1,4 +1,4 @@
-"""Counters: their names in the log line, and when they are set to zero."""
+"""Counters: their names in the log line, and their reset."""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_upstream_attempt.py
+++ b/tests/proxy/test_upstream_attempt.py
@@ -1,4 +1,4 @@
-"""Attempts against scripted endpoints: each ends with one result."""
+"""Attempts to scripted endpoints, each of which ends with one result."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
     async with LoopbackServer(always(response)) as server:
         pool.add("s", server.address)
         assert await attempt_result(pool) is expected
-        assert len(server.received) == 1  # no request is ever sent a second time by itself
+        assert len(server.received) == 1  # an attempt never retries
 
 
 async def test_truncated_response_is_a_reset(pool):
--- a/tests/proxy/test_watch_races.py
+++ b/tests/proxy/test_watch_races.py
@@ -1,6 +1,6 @@
-"""Watches of the endpoint list that fail, fall silent or are reopened at a bad moment: docs/races.md.
+"""Races of watches that fail, get no response or are reopened; docs/races.md lists them.
 
-All tests run in model time, so that a slow machine changes neither their results nor what they measure.
+All tests run in model time, so that a slow machine changes neither their results nor the times they check.
 """
 
 from __future__ import annotations
@@ -34,18 +34,18 @@
     """A watch request that waits for its response."""
 
     revision: int  # that the proxy has
-    wait_s: float  # the longest time that discovery may wait before it responds
+    wait_s: float  # the longest time for which discovery may delay its response
     address: Address
     transport: asyncio.Transport
     sent_at_s: float  # in model time
 
     def respond(self, revision: int) -> None:
-        """Respond with a complete list, of the one endpoint that is named after the revision."""
+        """Respond with a complete list of one endpoint, which is named after the revision."""
         self.transport.write(endpoint_list_response(revision, True, **{f"s{revision}": READY_ENDPOINT}))
 
 
 class ManualDiscovery:
-    """Discovery whose test responds itself: each poll, on whichever connection, waits to be taken."""
+    """Discovery whose test responds itself: polls of all connections are queued for it."""
 
     def __init__(self) -> None:
         self._polls: asyncio.Queue[Poll] = asyncio.Queue()
@@ -97,14 +97,14 @@
     async with watching_proxy() as (proxy, discovery):
         if not first:
             (await discovery.next_poll()).respond(7)
-        silent = await discovery.next_poll()
-        silent.transport.write(sent_before)
-        assert silent.revision == (1 if first else 7)
+        stalled = await discovery.next_poll()
+        stalled.transport.write(sent_before)
+        assert stalled.revision == (1 if first else 7)
         reopened = await discovery.next_poll()
-        assert reopened.sent_at_s - silent.sent_at_s == pytest.approx(silent.wait_s + RESPONSE_GRACE_S)
-        assert reopened.transport is not silent.transport
-        assert reopened.revision == silent.revision
-        silent.respond(8)  # ignored, as the proxy has closed this connection
+        assert reopened.sent_at_s - stalled.sent_at_s == pytest.approx(stalled.wait_s + RESPONSE_GRACE_S)
+        assert reopened.transport is not stalled.transport
+        assert reopened.revision == stalled.revision
+        stalled.respond(8)  # ignored, as the proxy has closed this connection
         reopened.respond(9)
         await wait_for_endpoints(proxy, "s9")
         assert unavailable_updates(proxy) == 1
@@ -142,7 +142,7 @@
 
 
 async def assert_no_other_watch(discovery: ManualDiscovery) -> None:
-    """No poll but the one that was taken last is sent during its wait, not even after a backoff."""
+    """No other poll is sent during the wait of the last one, not even after a backoff."""
     await asyncio.sleep(FIRST_WAIT_MS / 1000.0)
     assert not discovery.has_poll
 
@@ -159,7 +159,7 @@
         await until(lambda: unavailable_updates(proxy) == 2)
         changed_at_s = proxy.loop.time()
         address = failed.address if same else OTHER_ADDRESS
-        for _ in range(2):  # a second SIGHUP changes nothing
+        for _ in range(2):  # the second SIGHUP has no effect
             proxy.reconfigure(config("{}:{}".format(*address)))
         poll = await discovery.next_poll()
         assert (poll.revision, poll.address, poll.sent_at_s) == (1, address, changed_at_s)
@@ -170,15 +170,15 @@
 
 @in_model_time
 async def test_sighup_with_the_same_discovery_address_reopens_the_watch():
-    """The open watch may have fallen silent, and a change that it missed counts as notified in 4 s."""
+    """The open watch may no longer respond; 4 s later the proxy counts as notified of a change it missed."""
     async with watching_proxy() as (proxy, discovery):
         (await discovery.next_poll()).respond(7)
-        silent = await discovery.next_poll()
-        proxy.reconfigure(config("{}:{}".format(*silent.address)))
+        stalled = await discovery.next_poll()
+        proxy.reconfigure(config("{}:{}".format(*stalled.address)))
         poll = await discovery.next_poll()
-        assert (poll.revision, poll.wait_s, poll.transport is silent.transport) == (7, 1.0, False)
+        assert (poll.revision, poll.wait_s, poll.transport is stalled.transport) == (7, 1.0, False)
         await assert_no_other_watch(discovery)
-        silent.respond(8)
+        stalled.respond(8)
         poll.respond(9)
         await wait_for_endpoints(proxy, "s9")
         assert unavailable_updates(proxy) == 0
@@ -209,7 +209,7 @@
     ],
 )
 @in_model_time
-async def test_malformed_list_is_logged_once_and_watched_again(malformed, caplog):
+async def test_malformed_list_is_logged_once_and_the_watch_reopened(malformed, caplog):
     async with watching_proxy() as (proxy, discovery):
         (await discovery.next_poll()).respond(7)
         poll = await discovery.next_poll()
