--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -22,9 +22,7 @@
     lines = KNOWN_RED.read_text().splitlines() if KNOWN_RED.exists() else []
     listed = dict(line.split(": ", 1) for line in lines if line.strip())
     if len(listed) > MAX_KNOWN_FAILURES:
-        raise pytest.UsageError(
-            f"{KNOWN_RED.name} lists {len(listed)} tests; the limit is {MAX_KNOWN_FAILURES}"
-        )
+        raise pytest.UsageError(f"{KNOWN_RED.name}: {len(listed)} tests, the limit is {MAX_KNOWN_FAILURES}")
     for test_id in listed:
         file, _, name = test_id.partition("::")
         if not (ROOT / file).is_file() or f"def {name.partition('[')[0]}(" not in (ROOT / file).read_text():
--- a/tests/proxy/test_attempt_races.py
+++ b/tests/proxy/test_attempt_races.py
@@ -76,9 +76,7 @@
         pytest.param(lambda client: client.writer.close(), id="close"),
     ],
 )
-async def test_request_whose_client_disconnects_while_its_attempt_connects_is_not_sent(
-    can_cancel, disconnect
-):
+async def test_request_whose_client_disconnects_during_the_connect_is_not_sent(can_cancel, disconnect):
     server = LoopbackServer()
     async with running_proxy(server, bounds={"cancel": can_cancel}) as proxy:
         blocked, client = await start_blocked_request(proxy)
--- a/tests/proxy/test_descriptor_limits.py
+++ b/tests/proxy/test_descriptor_limits.py
@@ -121,7 +121,6 @@
     """A proxy process with few descriptors, whose discovery is unavailable.
 
     Attributes:
-        process: the process and its discovery.
         known_endpoint: the server of all known endpoints.
         downstream_limit: connections to clients that it may have open.
         upstream_limit: connections to endpoints that it may have open.
@@ -213,18 +212,14 @@
 
 
 class WritingClients:
-    """Unidentified clients of which each sends a byte in each iteration, so that bytes are always unread.
-
-    Attributes:
-        peak_connections: the proxy's highest number of connections in an iteration.
-    """
+    """Unidentified clients of which each sends a byte in each iteration, so that bytes are always unread."""
 
     def __init__(self, proxy: Proxy, clients: list[HttpClient]) -> None:
         self._proxy = proxy
         self._sockets = [client.writer.get_extra_info("socket").dup() for client in clients]
         for client in self._sockets:
             client.send(PARTIAL_REQUEST + b"X-Slow: ")
-        self.peak_connections = 0
+        self.peak_connections = 0  # the proxy's highest number of connections in an iteration
 
     def start(self) -> None:
         self._next_iteration = self._proxy.loop.call_soon(self._write)
--- a/tests/proxy/test_endpoint_updates.py
+++ b/tests/proxy/test_endpoint_updates.py
@@ -63,9 +63,7 @@
         pytest.param(response_bytes(500), id="status 500"),
         pytest.param(response_bytes(200, b"{"), id="no JSON"),
         pytest.param(response_bytes(200, b"[]"), id="no object"),
-        pytest.param(
-            response_bytes(200, b'{"rev":2,"all":true,"targets":[{"uid":"x"}]}'), id="fields missing"
-        ),
+        pytest.param(response_bytes(200, b'{"rev":2,"all":true,"targets":[{"uid":"x"}]}'), id="incomplete"),
         pytest.param(
             response_bytes(
                 200, b'{"rev":2,"all":true,"targets":[{"uid":"x","endpoint":"nowhere","state":"Ready"}]}'
--- a/tests/proxy/test_event_loop_turns.py
+++ b/tests/proxy/test_event_loop_turns.py
@@ -21,7 +21,7 @@
 from tests.support.proxy_config import config
 
 ENDPOINTS = 250
-GROWTH_FACTOR = 8
+FACTOR = 8
 
 
 class ListReceiver:
@@ -83,10 +83,8 @@
 
 @pytest.mark.parametrize("piece_bytes", [64, 1400, MAX_ENDPOINT_LIST_BYTES])
 async def test_cost_of_an_endpoint_list_is_proportional_to_its_length(piece_bytes):
-    short, long = [
-        await calls_for_list(count, piece_bytes) for count in (ENDPOINTS, GROWTH_FACTOR * ENDPOINTS)
-    ]
-    assert long < 1.25 * GROWTH_FACTOR * short
+    short, long = [await calls_for_list(count, piece_bytes) for count in (ENDPOINTS, FACTOR * ENDPOINTS)]
+    assert long < 1.25 * FACTOR * short
 
 
 async def calls_for_head(size_bytes: int) -> int:
--- a/tests/proxy/test_upstream_attempt.py
+++ b/tests/proxy/test_upstream_attempt.py
@@ -40,9 +40,7 @@
         pytest.param(response_bytes(504), AttemptResult.ERROR, id="504"),
         pytest.param(response_bytes(418), AttemptResult.ERROR, id="418"),
         pytest.param(response_bytes(200, Srv_Declined="1"), AttemptResult.OK, id="200 declined"),
-        pytest.param(
-            b"HTTP/1.1 100 Continue\r\n\r\n" + response_bytes(200), AttemptResult.OK, id="100 before 200"
-        ),
+        pytest.param(b"HTTP/1.1 100 Continue\r\n\r\n" + response_bytes(200), AttemptResult.OK, id="100, 200"),
         pytest.param(None, AttemptResult.RESET, id="closed"),
         pytest.param(b"not http at all\r\n\r\n", AttemptResult.RESET, id="no HTTP"),
     ],
--- a/tests/support/builders.py
+++ b/tests/support/builders.py
@@ -106,15 +106,10 @@
 
 
 class PolicyHarness:
-    """A policy with a model clock and an endpoint list.
-
-    Attributes:
-        now_ms: the model's time.
-        policy: the policy under test.
-    """
+    """A policy under test, with a model clock and an endpoint list."""
 
     def __init__(self, endpoint_count: int = 4, seed: int = 7, **changes: Any) -> None:
-        self.now_ms = 1000.0
+        self.now_ms = 1000.0  # the model time
         self.policy = LoadBalancingPolicy(build_settings(**changes), seed=seed, now_ms=self.now_ms)
         self._submitted = 0
         self.list_endpoints(*build_endpoints(endpoint_count), kind=UpdateKind.CACHED)
--- a/tests/support/discovery_outage.py
+++ b/tests/support/discovery_outage.py
@@ -68,15 +68,9 @@
 
 @dataclass(frozen=True)
 class ProxyInOutage:
-    """A proxy process whose discovery is unavailable.
+    """A proxy process whose discovery is unavailable."""
 
-    Attributes:
-        address: the address that the proxy listens on.
-        discovery: the discovery that the proxy watches.
-        program: the process.
-    """
-
-    address: Address
+    address: Address  # that the proxy listens on
     discovery: DiscoveryOutage
     program: subprocess.Popen[str]
 
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -164,10 +164,9 @@
 async def running_proxy(
     *servers: LoopbackServer, discovery: LoopbackServer | None = None, **fields: Any
 ) -> AsyncIterator[Proxy]:
-    """A running proxy with these backends as its known endpoints s0, s1 and so on.
+    """A running proxy with these backends as its known endpoints s0, s1 and so on; `fields` configure it.
 
-    `fields` are the arguments of `config_document`. The context closes the proxy, its clients, the backends
-    and discovery at its end.
+    The proxy, its clients, the backends and discovery are closed at the end of the context.
     """
     async with contextlib.AsyncExitStack() as stack:
         discovery = await stack.enter_async_context(discovery or ScriptedDiscovery())
--- a/tests/support/model_time.py
+++ b/tests/support/model_time.py
@@ -195,10 +195,7 @@
 
 
 class AdjustableClock:
-    """The running event loop's clock, which a test can advance.
-
-    Create it before the objects that store the loop's `time` method.
-    """
+    """The event loop's clock, which a test can advance; create it before objects that store `loop.time`."""
 
     def __init__(self) -> None:
         loop = asyncio.get_running_loop()
