--- a/tests/proxy/test_event_loop_turns.py
+++ b/tests/proxy/test_event_loop_turns.py
@@ -1,4 +1,7 @@
-"""The cost of one iteration of the event loop, in function calls, grows no faster than its input."""
+"""The cost of one iteration of the event loop, in function calls, grows no faster than its input.
+
+Otherwise one long endpoint list or request head would delay all requests in flight.
+"""
 
 from __future__ import annotations
 
--- a/tests/support/disconnects.py
+++ b/tests/support/disconnects.py
@@ -60,7 +60,7 @@
             self._socket.close()
 
     def _wait_until_end_of_stream_arrived(self) -> None:
-        """Wait until the proxy's kernel has acknowledged the end of stream, which can take a while."""
+        """Wait until the proxy's kernel has acknowledged the end of stream, which takes time under load."""
         while self._socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] in (ESTABLISHED, FIN_WAIT_1):
             time.sleep(0.001)
 
--- a/tests/support/model_time.py
+++ b/tests/support/model_time.py
@@ -44,7 +44,7 @@
     """The discovery that a `ModelLoop` connects to."""
 
     async def on_connect(self, address: Address) -> None:
-        """Return to let a connect to this address succeed, or raise OSError."""
+        """Accept a connect to this address, or raise OSError."""
 
     def on_request(self, transport: asyncio.Transport, text: str) -> None:
         """Handle a request, given as text, that is received on this connection."""
@@ -141,7 +141,7 @@
         return self._rng.choice(FAULTS[:-1]) if self._fault == FAULTS[-1] else self._fault
 
     async def on_connect(self, _address: Address) -> None:
-        """Let a connect succeed, or fail with the fault."""
+        """Accept a connect, or fail it with the fault."""
         fault = self._current_fault()
         if fault in ("refused", "unreachable"):
             self.attempts.put_nowait(fault)
--- a/tests/support/scripted_policy.py
+++ b/tests/support/scripted_policy.py
@@ -20,7 +20,7 @@
         self.events: list[Event] = []
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """Record an event and return the test's actions for it."""
+        """Record an event and return the test's actions for it; has the signature of the policy's method."""
         self.events.append(event)
         return self.act(event)
 
