--- a/tests/proxy/test_endpoint_updates.py
+++ b/tests/proxy/test_endpoint_updates.py
@@ -54,7 +54,7 @@
     proxy.close()
     assert update_kinds(scripted) == [UpdateKind.CACHED]
     (update,) = scripted.events_of(MembershipUpdate)
-    assert update.endpoints[0].started_ms is None  # 0 means long ago
+    assert update.endpoints[0].started_ms is None  # boot_ms 0: the endpoint started long ago
 
 
 @pytest.mark.parametrize(
--- a/tests/proxy/test_policy_events.py
+++ b/tests/proxy/test_policy_events.py
@@ -74,7 +74,7 @@
         for _ in range(3):
             await complete_batch(clock, proxy, backend, 0.0)
         assert proxy.policy.cursor == 0
-        for _ in range(12):  # half of the objective: above the target, but not saturated
+        for _ in range(12):  # half of the objective: too high a latency, but not saturated
             await complete_batch(clock, proxy, backend, 10.0)
         highest = proxy.policy.cursor
         assert 0 < highest <= 12 * BATCH_SIZE / 20
--- a/tests/proxy/test_start.py
+++ b/tests/proxy/test_start.py
@@ -55,7 +55,7 @@
 @pytest.mark.parametrize("mode", ["push", "ask"])
 @pytest.mark.parametrize("known", ["outdated", "empty"])
 async def test_proxy_started_in_an_outage_is_ready_once_it_has_endpoints(tmp_path, outage, mode, known):
-    """With an outdated list it is ready at once; with an empty one, after the outage."""
+    """With an outdated list it is ready and serves at once; with an empty one, after the outage."""
     async with LoopbackServer() as old_endpoint:
         removed = "{}:{}".format(*free_address())
         outdated = targets(removed=(removed, "Ready"), old=(old_endpoint.endpoint, "Ready"))
