--- a/tests/proxy/test_descriptor_limits.py
+++ b/tests/proxy/test_descriptor_limits.py
@@ -27,9 +27,7 @@
 from tests.support.sockets import start_connect
 
 PARTIAL_REQUEST = b"GET /read/1 HTTP/1.1\r\nReq-Id: half\r\n"
-BURST_SIZE = (
-    500  # idle clients that connect between two iterations of the proxy's loop: the kernel queues 1024
-)
+BURST_SIZE = 500  # clients that connect between two iterations of the proxy's loop: the kernel queues 1024
 BURSTS = 3
 RECONNECTING_CLIENTS = 150  # more than the smallest limit allows
 
