--- a/tests/discovery_server/cluster.py
+++ b/tests/discovery_server/cluster.py
@@ -16,7 +16,7 @@
 from loadbalancer.discovery_server.server import DiscoveryServer
 from loadbalancer.http.addresses import Address
 from tests.support.loopback import LoopbackServer, Script, close_writer, until
-from tests.support.messages import Message, read_message, reply, targets
+from tests.support.messages import Message, read_message, response_bytes, targets
 
 LIST_NAME = "s"
 HOSTS = "/discovery/hosts"
@@ -29,7 +29,7 @@
 def list_reply(revision: int, *uids: str, complete: bool = True) -> bytes:
     """An HTTP response with a list of ready endpoints."""
     entries = targets(**dict.fromkeys(uids, ENDPOINT))
-    return reply(200, orjson.dumps({"rev": revision, "all": complete, "targets": entries}))
+    return response_bytes(200, orjson.dumps({"rev": revision, "all": complete, "targets": entries}))
 
 
 class Registry(LoopbackServer):
@@ -50,7 +50,7 @@
 
     async def respond(self, message: Message) -> bytes:
         """The response to a request: immediate, or after the next change for a client that is up to date."""
-        query = dict(part.split("=") for part in message.first[1].partition("?")[2].split("&") if part)
+        query = dict(part.split("=") for part in message.start_line[1].partition("?")[2].split("&") if part)
         if query.get("since") == str(self.revision):
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(int(query["timeout_ms"]) / 1000.0):
--- a/tests/proxy/test_attempt_races.py
+++ b/tests/proxy/test_attempt_races.py
@@ -1,4 +1,4 @@
-"""Attempts and connections that cross with other events on real connections: docs/races.md."""
+"""Races of attempts with other events, on real connections; docs/races.md lists them."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
     send_request,
     until,
 )
-from tests.support.messages import read_message, reply, request
+from tests.support.messages import read_message, request, response_bytes
 from tests.support.proxy import (
-    GatedConnects,
+    BlockedConnects,
     ManualServer,
     make_pool,
     policy_sending_to,
@@ -37,36 +37,36 @@
 
 
 async def test_late_second_response_is_not_served_to_the_next_request(monkeypatch):
-    """The proxy writes the next request while a second response to the one before is under way."""
+    """A duplicate response to the previous request arrives when the next request has already been sent."""
     monkeypatch.setattr("loadbalancer.proxy.connection_pool.REUSE_DELAY_S", 60.0)
     server = ManualServer()
     async with running_proxy(server) as proxy:
         script_policy(proxy, policy_sending_to("s0"))
         client = await HttpClient.to(proxy)
         client.writer.write(request(name="q1"))
-        await until(lambda: server.links)
-        reader, writer = server.links[0]
+        await until(lambda: server.streams)
+        reader, writer = server.streams[0]
         await read_message(reader)
-        writer.write(reply(200, b"first"))
+        writer.write(response_bytes(200, b"first"))
         assert (await client.read_response()).body == b"first"
         client.writer.write(request(name="q2"))
         next_message = asyncio.ensure_future(read_message(reader))
-        await until(lambda: next_message.done() or len(server.links) == 2)
-        writer.write(reply(200, b"first"))  # the late second response, after q2 has been sent
-        if len(server.links) == 2:
-            await read_message(server.links[1][0])
-        server.links[-1][1].write(reply(200, b"second"))
+        await until(lambda: next_message.done() or len(server.streams) == 2)
+        writer.write(response_bytes(200, b"first"))  # the late second response, after q2 has been sent
+        if len(server.streams) == 2:
+            await read_message(server.streams[1][0])
+        server.streams[-1][1].write(response_bytes(200, b"second"))
         assert (await client.read_response()).body == b"second"
         next_message.cancel()
 
 
-async def start_gated_request(proxy: Proxy, at_once: int = 0) -> tuple[GatedConnects, HttpClient]:
-    """Send the request `left`, and wait until an attempt connects after the first `at_once` attempts."""
-    gated = GatedConnects(proxy, at_once)
+async def start_blocked_request(proxy: Proxy, allowed: int = 0) -> tuple[BlockedConnects, HttpClient]:
+    """Send the request `left`, and wait until a connect of its attempts is blocked."""
+    blocked = BlockedConnects(proxy, allowed)
     client = await HttpClient.to(proxy)
     client.writer.write(request("post", "left"))
-    await until(lambda: gated.connects > at_once)
-    return gated, client
+    await until(lambda: blocked.connect_count > allowed)
+    return blocked, client
 
 
 @pytest.mark.parametrize(
@@ -76,13 +76,13 @@
         pytest.param(lambda client: client.writer.close(), id="close"),
     ],
 )
-async def test_client_that_disconnects_while_its_attempt_connects_is_not_forwarded(can_cancel, disconnect):
+async def test_request_whose_client_disconnects_during_the_connect_is_not_sent(can_cancel, disconnect):
     server = LoopbackServer()
     async with running_proxy(server, bounds={"cancel": can_cancel}) as proxy:
-        gated, client = await start_gated_request(proxy)
+        blocked, client = await start_blocked_request(proxy)
         disconnect(client)
         await until(lambda: proxy.requests.open_count == 0)
-        gated.gate.set()
+        blocked.unblock.set()
         await until(lambda: not proxy.pool._connecting)
         assert (await send_request(proxy, request("post", "next"))).status == 200
         assert server.request_ids == ["next"]
@@ -90,17 +90,17 @@
         assert proxy.policy.endpoints.by_name["s0"].in_flight == 0.0
 
 
-async def test_client_that_disconnects_while_a_retry_connects_is_not_forwarded(can_cancel):
-    full, other = LoopbackServer(always(reply(503, Srv_Declined="1"))), LoopbackServer()
-    async with running_proxy(full, other, bounds={"cancel": can_cancel}) as proxy:
+async def test_retry_whose_client_disconnects_while_it_connects_is_not_sent(can_cancel):
+    rejecting, other = LoopbackServer(always(response_bytes(503, Srv_Declined="1"))), LoopbackServer()
+    async with running_proxy(rejecting, other, bounds={"cancel": can_cancel}) as proxy:
         scripted = script_policy(proxy, policy_sending_to("s0", "s1"))
-        gated, client = await start_gated_request(proxy, at_once=1)
+        blocked, client = await start_blocked_request(proxy, allowed=1)
         client.writer.close()
         await until(lambda: scripted.events_of(ClientDisconnected))
-        gated.gate.set()
+        blocked.unblock.set()
         await until(lambda: not proxy.pool._connecting)
         assert scripted.attempt_results == [AttemptResult.REJECTED, AttemptResult.NOT_SENT]
-        assert other.seen == []
+        assert other.received == []
         assert not proxy.requests.by_id
 
 
@@ -109,7 +109,7 @@
     async with running_proxy(server, bounds={"cancel": can_cancel}) as proxy:
         client = await HttpClient.to(proxy)
         client.writer.write(request(name="first") + request(name="second"))
-        await until(lambda: server.seen)
+        await until(lambda: server.received)
         client.writer.close()
         await until(lambda: proxy.requests.open_count == 0)
         server.release.set()
@@ -119,7 +119,7 @@
 
 
 def fill_connections(proxy: Proxy) -> None:
-    """Have the proxy's connections to endpoints accept no more bytes once they are established."""
+    """Fill the send buffer of each new connection to an endpoint, so that further bytes are not sent."""
     connect = proxy.pool.connect
 
     async def connect_and_fill(address: Address) -> ClientConnection:
@@ -134,8 +134,8 @@
     proxy.pool.connect = connect_and_fill  # type: ignore[method-assign]
 
 
-async def test_request_half_written_as_its_client_disconnects_is_not_sent(can_cancel):
-    """The server accepts no more bytes: the rest waits in the proxy."""
+async def test_partially_written_request_whose_client_disconnects_is_not_sent(can_cancel):
+    """The kernel accepts no more bytes, so that the request waits in the proxy's write buffer."""
     server = ManualServer()
     async with running_proxy(server, bounds={"cancel": can_cancel}) as proxy:
         scripted = script_policy(proxy, policy_sending_to("s0"))
@@ -150,32 +150,32 @@
         client.writer.close()
         await until(lambda: scripted.events_of(ClientDisconnected))
         assert scripted.attempt_results == [AttemptResult.NOT_SENT]
-        reader, _ = server.links[0]
+        reader, _ = server.streams[0]
         assert b"left" not in await reader.read()
 
 
-async def test_client_that_disconnects_as_its_attempt_has_connected_is_not_forwarded():
+async def test_request_whose_client_disconnects_before_the_first_byte_is_not_sent():
     server = LoopbackServer()
     async with running_proxy(server, bounds={"cancel": False}) as proxy:
-        gated, _ = await start_gated_request(proxy)
-        connect = gated.connect_now
+        blocked, _ = await start_blocked_request(proxy)
+        connect = blocked.connect_now
 
         async def connect_and_disconnect(address):
             connection = await connect(address)
             downstream = proxy.requests.by_id["left"].http_request.connection
             assert isinstance(downstream, ServerConnection)
-            downstream.abort()  # once the attempt has its connection, and before anything is written to it
+            downstream.abort()  # after the connect and before anything is written
             downstream.connection_lost(None)
             return connection
 
-        gated.connect_now = connect_and_disconnect
-        gated.gate.set()
+        blocked.connect_now = connect_and_disconnect
+        blocked.unblock.set()
         await until(lambda: not proxy.requests.by_id and not proxy.pool.size)
-        assert server.seen == []
+        assert server.received == []
 
 
 async def test_cancelled_attempt_has_ended_before_the_next_one_is_sent():
-    """In the same turn of the loop, in which asyncio has not closed the first one's socket yet."""
+    """The endpoint receives the end of stream before asyncio closes the socket in the next iteration."""
     with socket.create_server(("127.0.0.1", 0)) as server, contextlib.closing(make_pool()) as pool:
         pool.add("s", socket_address(server))
         attempt = start_attempt(pool, "s", lambda *_: None, request(), 60.0)
@@ -184,25 +184,25 @@
         with accepted:
             assert accepted.recv(10_000) == request()
             attempt.cancel()
-            assert accepted.recv(1) == b""  # the event loop has had no turn
+            assert accepted.recv(1) == b""  # in the same iteration of the event loop
 
 
 async def test_keyed_retry_that_connects_after_the_deduplication_window_is_not_sent(clock):
     async def fail(_message):
         allow_only(proxy.policy.endpoints, "s1")
-        return reply(500)
+        return response_bytes(500)
 
     first, second = LoopbackServer(fail), LoopbackServer()
     keyed = {"name": "move", "aimMs": 20000.0, "giveUpMs": 30000.0, "effect": "guarded"}
     settings = {"categories": [keyed | {"memorySpanMs": 1000.0 * DEDUPLICATION_WINDOW_S}]}
     async with running_proxy(first, second, settings=settings) as proxy:
-        gated = GatedConnects(proxy, at_once=1)
+        blocked = BlockedConnects(proxy, allowed=1)
         allow_only(proxy.policy.endpoints, "s0")
         client = await HttpClient.to(proxy)
         response = asyncio.ensure_future(client.send(request("move", "q1", Idempotency_Key="k")))
-        await until(lambda: gated.connects == 2)
-        clock.advance(DEDUPLICATION_WINDOW_S)  # the endpoints may have forgotten the key
-        gated.gate.set()
+        await until(lambda: blocked.connect_count == 2)
+        clock.advance(DEDUPLICATION_WINDOW_S)  # the endpoints may have deleted the key
+        blocked.unblock.set()
         assert (await response).status == 502
         await until(lambda: not proxy.pool._connecting)
-        assert second.seen == []
+        assert second.received == []
--- a/tests/proxy/test_client_disconnects.py
+++ b/tests/proxy/test_client_disconnects.py
@@ -1,7 +1,6 @@
-"""A client that has closed its connection is disconnected, also where its end of stream is still unread.
+"""Requests of disconnected clients are not sent, even while the end of stream is still unread.
 
-Each client disconnects at a moment that an event gives, with no turn of the event loop between that and the
-sending of an attempt.
+Each client disconnects at a given event, without an iteration of the event loop before the attempt is sent.
 """
 
 from __future__ import annotations
@@ -23,7 +22,7 @@
     disconnect_at_send,
 )
 from tests.support.loopback import HttpClient, LoopbackServer, always, running_proxy, send_request, until
-from tests.support.messages import reply, request
+from tests.support.messages import request, response_bytes
 from tests.support.proxy import policy_sending_to
 from tests.support.scripted_policy import acting_on, script_policy
 from tests.support.slow_reader import LARGE_BODY, slow_reader
@@ -31,12 +30,12 @@
 
 @pytest.fixture(autouse=True)
 def immediate_reuse(monkeypatch):
-    """A connection may be reused right after its response."""
+    """Connections can be reused right after a response."""
     monkeypatch.setattr("loadbalancer.proxy.connection_pool.REUSE_DELAY_S", 0.0)
 
 
 def has_ended_all(proxy: Proxy) -> bool:
-    """Whether the proxy has no request, is not connecting, and its policy counts no attempt in flight."""
+    """Whether the proxy has no request and no connect, and its policy counts no attempt in flight."""
     in_flight = [endpoint.in_flight for endpoint in proxy.policy.endpoints.by_name.values()]
     return (
         proxy.requests.open_count == 0
@@ -46,12 +45,12 @@
     )
 
 
-async def assert_disconnect_left_nothing(proxy: Proxy, backends: FailingFirstAttempt, *seen: str) -> None:
-    """No further attempt was sent; the counters are right; and the next request is served."""
+async def assert_disconnect_handled(proxy: Proxy, backends: FailingFirstAttempt, *sent_ids: str) -> None:
+    """Only these requests have been sent, the counters are correct, and the next request is served."""
     await until(lambda: has_ended_all(proxy))
     assert not proxy.policy.requests.open_requests
     assert (await send_request(proxy, request("post", "next"))).status == 200
-    assert sorted(backends.seen) == sorted([*seen, "next"])
+    assert sorted(backends.request_ids) == sorted([*sent_ids, "next"])
     statistics = proxy.statistics
     assert statistics.client_disconnects == 1
     assert statistics.attempts["cancelled"] == 0
@@ -76,7 +75,7 @@
 
 @pytest.fixture
 def first_result():
-    """The result of the first attempt; "none": it succeeds. A test with other results overrides it."""
+    """The result of the first attempt; "none" for a success. Tests with other results override it."""
     return "none"
 
 
@@ -102,36 +101,34 @@
 
 
 async def test_request_followed_by_its_clients_disconnect_is_not_forwarded(backends, proxy, client):
-    """Read in one turn of a late event loop: the request, and with it or behind it the end of stream."""
+    """A late event loop receives the request and its client's end of stream in one iteration."""
     client.send(request("post", "abandoned"))
     client.disconnect()
-    await assert_disconnect_left_nothing(proxy, backends)
+    await assert_disconnect_handled(proxy, backends)
 
 
 @pytest.mark.parametrize("first_result", ["none", "declined", "error", "reset", "refused"])
-async def test_client_that_disconnects_as_its_request_is_about_to_be_sent(
+async def test_request_whose_client_disconnects_before_the_send_is_not_sent(
     first_result, backends, proxy, client
 ):
-    """For the first time, or for a retry after a failed attempt."""
+    """Before the first attempt, or before a retry after a failed attempt."""
     disconnect_at_send(proxy, 1 if first_result == "none" else 2, client)
     client.send(request("post" if first_result == "none" else "read", "abandoned"))
     await until(lambda: client.disconnected)
-    seen = [] if first_result in ("none", "refused") else ["abandoned"]
-    await assert_disconnect_left_nothing(proxy, backends, *seen)
+    sent_ids = [] if first_result in ("none", "refused") else ["abandoned"]
+    await assert_disconnect_handled(proxy, backends, *sent_ids)
 
 
-async def test_client_that_disconnects_as_its_second_request_is_about_to_be_sent(backends, proxy, client):
+async def test_second_request_followed_by_its_clients_disconnect_is_not_forwarded(backends, proxy, client):
     client.send(request("post", "first"))
     assert (await client.read_response()).startswith(b"HTTP/1.1 200")
     client.send(request("post", "abandoned"))
     client.disconnect()
-    await assert_disconnect_left_nothing(proxy, backends, "first")
+    await assert_disconnect_handled(proxy, backends, "first")
 
 
-async def test_client_that_disconnects_with_a_pipelined_request_about_to_be_sent(
-    backends, proxy, client, monkeypatch
-):
-    """As the first response is written; the second request waits for the next turn."""
+async def test_pipelined_request_whose_client_disconnects_is_not_sent(backends, proxy, client, monkeypatch):
+    """The first response is being written; the second request is handled in the next iteration."""
     respond = ServerConnection.respond
 
     def respond_and_disconnect(connection, http_request, *response):
@@ -144,24 +141,26 @@
         client.send(request("post", "first") + request("post", "abandoned"))
         await until(lambda: client.disconnected)
         await until(lambda: has_ended_all(proxy) and not proxy.listener.connections)
-    await assert_disconnect_left_nothing(proxy, backends, "first")
+    await assert_disconnect_handled(proxy, backends, "first")
 
 
 @pytest.mark.parametrize("reuse", [pytest.param(False, id="new connections")])
 @pytest.mark.parametrize("first_result", ["none", "declined"])
-async def test_client_that_disconnects_as_its_attempt_has_connected(first_result, backends, proxy, client):
-    """For a first attempt and for a retry."""
+async def test_request_whose_client_disconnects_at_the_connect_is_not_sent(
+    first_result, backends, proxy, client
+):
+    """For the first attempt and for a retry."""
     disconnect_at_connection(proxy, 1 if first_result == "none" else 2, client)
     client.send(request("read", "abandoned"))
     await until(lambda: client.disconnected)
-    seen = [] if first_result == "none" else ["abandoned"]
-    await assert_disconnect_left_nothing(proxy, backends, *seen)
+    sent_ids = [] if first_result == "none" else ["abandoned"]
+    await assert_disconnect_handled(proxy, backends, *sent_ids)
 
 
 async def test_client_whose_end_of_stream_has_been_read_is_disconnected_before_the_close(
     can_cancel, monkeypatch
 ):
-    """asyncio reports the end of stream in one turn, and the connection's loss in the next."""
+    """asyncio reports the end of stream in one iteration and the lost connection in the next."""
     backends = FailingFirstAttempt("none")
     async with running_proxy(*backends.servers, bounds={"cancel": can_cancel}) as proxy:
         await backends.open_connections(proxy)
@@ -184,14 +183,14 @@
         await until(lambda: not proxy.requests.by_id and not proxy.listener.connections)
         script_policy(proxy, policy_sending_to("s0"))
         assert (await send_request(proxy, request("post", "next"))).status == 200
-        assert (proxy.requests.open_count, backends.seen) == (0, ["next"])
+        assert (proxy.requests.open_count, backends.request_ids) == (0, ["next"])
 
 
-async def test_client_that_ends_its_sending_and_reads_no_response_is_disconnected(monkeypatch):
-    """asyncio keeps such a connection until all is read: its loss would never be reported."""
+async def test_client_that_half_closes_and_reads_no_response_is_disconnected(monkeypatch):
+    """asyncio keeps such a connection open until all data is read, and would never report its loss."""
     monkeypatch.setattr("loadbalancer.http.request_timeouts.UNREAD_TIMEOUT_S", 0.0)
     monkeypatch.setattr("loadbalancer.http.request_timeouts.LINGER_TIMEOUT_S", 0.0)
-    async with running_proxy(LoopbackServer(always(reply(200, LARGE_BODY)))) as proxy:
+    async with running_proxy(LoopbackServer(always(response_bytes(200, LARGE_BODY)))) as proxy:
         send = policy_sending_to("s0")
         only_first = acting_on(lambda event: send(event) if event.request_id == "first" else [])
         scripted = script_policy(proxy, only_first)
@@ -209,16 +208,16 @@
             await until(lambda: not proxy.listener.connections)
 
 
-class EagerClient(DisconnectingClient):
-    """Sends more in place of disconnecting."""
+class PipeliningClient(DisconnectingClient):
+    """Sends further bytes instead of disconnecting."""
 
-    def __init__(self, proxy: Proxy, more: bytes) -> None:
+    def __init__(self, proxy: Proxy, data: bytes) -> None:
         super().__init__(proxy, "")
-        self._more = more
+        self._data = data
 
     def disconnect(self) -> None:
         self.disconnected = True
-        self.send(self._more)
+        self.send(self._data)
 
 
 SECOND_REQUEST = request("post", "second")
@@ -231,12 +230,12 @@
 async def test_client_whose_next_request_is_unread_is_not_disconnected(moment, sent_bytes):
     backends = FailingFirstAttempt("none")
     async with running_proxy(*backends.servers) as proxy:
-        client = EagerClient(proxy, SECOND_REQUEST[:sent_bytes])
+        client = PipeliningClient(proxy, SECOND_REQUEST[:sent_bytes])
         moment(proxy, 1, client)
         client.send(request("post", "first"))
         async with await client.to_http_client() as http_client:
             assert (await http_client.read_response()).status == 200
             assert client.disconnected
             assert (await http_client.send(SECOND_REQUEST[sent_bytes:])).status == 200
-            assert sorted(backends.seen) == ["first", "second"]
+            assert sorted(backends.request_ids) == ["first", "second"]
             assert proxy.statistics.client_disconnects == 0
--- a/tests/proxy/test_connection_limits.py
+++ b/tests/proxy/test_connection_limits.py
@@ -1,4 +1,4 @@
-"""More connections and requests than the proxy may have open."""
+"""Connections and requests over the proxy's limits."""
 
 from __future__ import annotations
 
@@ -34,11 +34,11 @@
     server = StalledBackend()
     async with running_proxy(server, bounds={"maxOpen": 1}) as proxy:
         first = asyncio.create_task(send_request(proxy, request(name="q1")))
-        await until(lambda: server.seen)
+        await until(lambda: server.received)
         assert (await send_request(proxy, request(name="q2"))).status == 503
         server.release.set()
         assert (await first).status == 200
-        assert len(server.seen) == 1
+        assert len(server.received) == 1
 
 
 async def test_flood_of_connections_is_accepted_up_to_the_downstream_limit(proxy):
@@ -51,9 +51,9 @@
 
 async def test_burst_of_connections_keeps_to_the_descriptor_limit(proxy):
     with contextlib.ExitStack() as stack:
-        gc.collect()  # a collection while this test counts could close descriptors of earlier tests
+        gc.collect()  # a collection during the count could close descriptors of earlier tests
         before = open_descriptors()
-        # All are in the kernel's queue before the proxy has a turn.
+        # All are in the kernel's queue before the next iteration of the event loop.
         burst = [stack.enter_context(socket.create_connection(proxy.listener.address)) for _ in range(200)]
         burst[-1].sendall(request())
         peak = 0
@@ -67,24 +67,24 @@
 async def test_request_over_the_connection_limit_is_rejected_and_its_connection_closed(proxy):
     scripted = script_policy(proxy)  # holds every request
     clients = [await HttpClient.to(proxy) for _ in range(proxy.listener.limit)]
-    for at, client in enumerate(clients):
-        client.writer.write(request(name=f"q{at}"))
+    for index, client in enumerate(clients):
+        client.writer.write(request(name=f"q{index}"))
     await until(lambda: proxy.requests.open_count == len(clients))
     late = await send_request(proxy, request(name="late"))
     assert (late.status, late.headers["connection"]) == (503, "close")
     assert len(scripted.events_of(IncomingRequest)) == len(clients)
     await until(lambda: len(proxy.listener.connections) == len(clients))
-    for at, client in enumerate(clients):
-        proxy.policy_runner.execute(Reject(f"q{at}"))
+    for index, client in enumerate(clients):
+        proxy.policy_runner.execute(Reject(f"q{index}"))
         assert (await client.read_response()).status == 503
 
 
-async def test_request_takes_the_place_of_a_connection_that_has_just_become_idle(proxy):
-    """A request needs no grace period of idle connections to end, unlike a mere connection."""
+async def test_request_evicts_a_connection_that_has_just_become_idle(proxy):
+    """The grace period of idle connections applies to evictions for a new connection only."""
     stop_listener_clock(proxy)
     clients = [await HttpClient.to(proxy) for _ in range(proxy.listener.limit)]
-    for at, client in enumerate(clients):
-        assert (await client.send(request(name=f"q{at}"))).status == 200
+    for index, client in enumerate(clients):
+        assert (await client.send(request(name=f"q{index}"))).status == 200
     late = await HttpClient.to(proxy)
     await until(lambda: len(proxy.listener.connections) > proxy.listener.limit)  # all stay open
     assert (await late.send(request(name="late"))).status == 200
--- a/tests/proxy/test_connection_pool.py
+++ b/tests/proxy/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""Pooled connections: which of them are reused, when they are closed, and how many there are."""
+"""Pooled connections: which are reused, when they are closed, and how many there are."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from loadbalancer.events import AttemptResult
 from loadbalancer.http.addresses import socket_address
 from tests.support.loopback import LoopbackServer, StalledBackend, always, until
-from tests.support.messages import reply
+from tests.support.messages import response_bytes
 from tests.support.proxy import attempt_result, open_pool, start_attempt
 from tests.support.sockets import unaccepting_listener
 
@@ -29,9 +29,9 @@
 @pytest.mark.parametrize(
     "response",
     [
-        pytest.param(reply(200, Connection="close"), id="connection close"),
-        pytest.param(reply(200) + b"more", id="extra bytes"),
-        pytest.param(reply(200) * 2, id="second response"),
+        pytest.param(response_bytes(200, Connection="close"), id="connection close"),
+        pytest.param(response_bytes(200) + b"more", id="extra bytes"),
+        pytest.param(response_bytes(200) * 2, id="second response"),
     ],
 )
 async def test_connection_that_closes_or_has_extra_bytes_is_not_reused(response, pool):
@@ -50,7 +50,7 @@
     old, new = endpoint.idle
     assert pool.acquire_idle(endpoint) is new
     pool.release(endpoint, new)
-    for connection in endpoint.idle:  # 5 of the endpoint's 10 seconds have passed
+    for connection in endpoint.idle:  # 5 s of the endpoint's idle time-out of 10 s have passed
         connection.idle_since -= 5.0
     assert await attempt_result(pool) is AttemptResult.OK
     assert backend.connections == 3
@@ -71,7 +71,7 @@
     assert await attempt_result(pool) is AttemptResult.OK
     assert await attempt_result(pool) is AttemptResult.OK
     assert backend.connections == connections
-    assert len(pool.get("s").idle) == connections  # those that are not reusable yet stay pooled
+    assert len(pool.get("s").idle) == connections  # connections that are not reusable yet stay in the pool
 
 
 async def test_idle_connections_are_closed_in_time(backend):
@@ -81,7 +81,7 @@
         await until(lambda: not pool.size)
 
 
-async def test_drain_withdraws_connecting_attempts_and_closes_idle_connections(pool):
+async def test_drain_fails_connecting_attempts_and_closes_idle_connections(pool):
     with unaccepting_listener() as listener:
         pool.add("s", socket_address(listener))
         outcome = asyncio.create_task(attempt_result(pool))
@@ -95,7 +95,7 @@
 async def test_attempt_in_flight_as_its_endpoint_drains_still_gets_its_response(pool, stalled_backend):
     pool.add("s", stalled_backend.address)
     outcome = asyncio.create_task(attempt_result(pool))
-    await until(lambda: stalled_backend.seen)
+    await until(lambda: stalled_backend.received)
     pool.remove("s")
     stalled_backend.release.set()
     assert await outcome is AttemptResult.OK
@@ -115,7 +115,7 @@
             start_attempt(pool, "busy", lambda result, _: results.append(result))
         assert idle.idle == []
         await until(lambda: results)
-        assert results == [AttemptResult.CONNECT_FAILED]  # the third: all connections are busy
+        assert results == [AttemptResult.CONNECT_FAILED]  # the third attempt: all connections are in use
         stalled_backend.release.set()
         await until(lambda: len(results) == 3)
         assert results[1:] == [AttemptResult.OK, AttemptResult.OK]
--- a/tests/proxy/test_main.py
+++ b/tests/proxy/test_main.py
@@ -16,7 +16,7 @@
 
 from loadbalancer.http.addresses import Address
 from tests.support.loopback import HttpClient, LoopbackServer, ScriptedDiscovery, StalledBackend, until
-from tests.support.messages import Message, endpoint_list_response, reply, request, targets
+from tests.support.messages import Message, endpoint_list_response, request, response_bytes, targets
 from tests.support.program import (
     READINESS_REQUEST,
     free_address,
@@ -27,7 +27,7 @@
 )
 from tests.support.proxy_config import SETTINGS, config_document
 
-# A proxy in shutdown serves on for 3.4 s and then has 59.6 s to finish, in place of 2.4 s and 1.2 s.
+# Instead of 2.4 s and 1.2 s, a proxy in shutdown serves for 3.4 s and then has 59.6 s to end its requests.
 SLOW_SHUTDOWN = (
     "from loadbalancer.proxy import graceful_shutdown as shutdown; "
     "shutdown.EXIT_MARGIN_S, shutdown.CLOSING_PHASE_S = 60.0, 59.6"
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True)
 class ServingProxy:
-    """A proxy process that is ready, with one endpoint that responds to the request `held` once released."""
+    """A ready proxy process with one endpoint, which responds to the request `held` after `release`."""
 
     program: subprocess.Popen[str]
     address: Address
@@ -91,7 +91,7 @@
     async def respond(message: Message) -> bytes:
         if message.headers["req-id"] == "held":
             await release.wait()
-        return reply()
+        return response_bytes()
 
     address = free_address()
     async with LoopbackServer(respond) as endpoint, ScriptedDiscovery() as discovery:
@@ -102,7 +102,7 @@
 
 
 async def wait_until_not_ready(address: Address) -> Message:
-    """Returns the first response to a readiness request that is not 200."""
+    """Return the first response to a readiness request whose status is not 200."""
     while (response := await send_until_response(address, READINESS_REQUEST)).status == 200:
         pass
     return response
@@ -117,13 +117,13 @@
         for client in (busy, idle):
             assert (await client.send(READINESS_REQUEST)).status == 200
         busy.writer.write(request(name="held"))
-        await until(lambda: proxy.endpoint.seen)
+        await until(lambda: proxy.endpoint.received)
         proxy.program.send_signal(signal.SIGTERM)
         assert (await wait_until_not_ready(proxy.address)).status == 503
         response = await idle.send(request(name="kept"))  # on a connection from before the signal
         assert (response.status, response.headers.get("connection")) == (200, None)
         assert (await send_until_response(proxy.address, request(name="new"))).status == 200
-        assert await idle.reader.read() == b""  # closed between requests, in the end
+        assert await idle.reader.read() == b""  # closed by the shutdown, between two requests
         assert proxy.program.poll() is None
         proxy.release.set()
         response = await busy.read_response()
@@ -131,31 +131,31 @@
         assert await asyncio.to_thread(proxy.program.wait) == 0
 
 
-async def test_sighup_follows_another_discovery_address_and_a_bad_file_changes_nothing(tmp_path):
+async def test_sighup_applies_another_discovery_address_and_ignores_a_bad_file(tmp_path):
     changes = endpoint_list_response(7, True, s0=("127.0.0.1:9", "Ready"))
     async with ScriptedDiscovery(changes) as first, ScriptedDiscovery() as second:
         path = write_config(tmp_path, config_document(first.endpoint))
         with running_program(path) as program:
-            await until(lambda: len(first.seen) == 2)
+            await until(lambda: len(first.received) == 2)
             path.write_text("{")
             program.send_signal(signal.SIGHUP)
             await wait_for_log(program, "bad configuration")
             write_config(tmp_path, config_document(second.endpoint))
             program.send_signal(signal.SIGHUP)
-            await until(lambda: second.seen)
-            assert "since=7&" in second.seen[0].first[1]  # the proxy keeps the list that it has
-            await until(lambda: all(reader.at_eof() for reader in first.readers))  # the old watch is over
+            await until(lambda: second.received)
+            assert "since=7&" in second.received[0].start_line[1]  # the proxy keeps its list
+            await until(lambda: all(reader.at_eof() for reader in first.readers))  # the old watch is closed
             program.send_signal(signal.SIGTERM)
             await asyncio.to_thread(program.communicate)
             assert program.returncode == 0
 
 
-def test_sigterm_before_the_configuration_is_read_shuts_down_in_order(tmp_path):
-    """The file is a pipe: the proxy, with its signal handlers set, waits for it when the signal comes."""
+def test_sigterm_before_the_configuration_is_read_shuts_down_cleanly(tmp_path):
+    """The file is a pipe: the proxy has set its signal handlers and waits to read when the signal arrives."""
     path = tmp_path / "config.json"
     os.mkfifo(path)
     with running_program(path) as program:
-        with path.open("wb") as pipe:  # opens once the proxy has opened it too
+        with path.open("wb") as pipe:  # blocks until the proxy opens the pipe
             program.send_signal(signal.SIGTERM)
             pipe.write(orjson.dumps(config_document("127.0.0.1:1")))
         _, log = program.communicate()
@@ -163,20 +163,20 @@
         assert "Traceback" not in log
 
 
-async def test_sighup_during_the_shutdown_is_followed(tmp_path):
+async def test_sighup_during_the_shutdown_is_applied(tmp_path):
     address = free_address()
     async with StalledBackend() as hung, ScriptedDiscovery() as first, ScriptedDiscovery() as second:
         document = config_document(first.endpoint, known=targets(s0=(hung.endpoint, "Ready")))
         with running_program(write_config(tmp_path, document, address)) as program:
-            await until(lambda: first.seen)  # the proxy listens before it polls
+            await until(lambda: first.received)  # the proxy listens before it polls
             async with await HttpClient.connect(address) as client:
                 client.writer.write(request(name="held"))
-                await until(lambda: hung.seen)
+                await until(lambda: hung.received)
                 program.send_signal(signal.SIGTERM)
                 await wait_until_not_ready(address)
                 write_config(tmp_path, document | {"discovery": second.endpoint}, address)
                 program.send_signal(signal.SIGHUP)
-                await until(lambda: second.seen)
-                # At the end the proxy gives the request up; it can be sent elsewhere.
+                await until(lambda: second.received)
+                # At the end of the shutdown the proxy rejects the request: a client can retry it elsewhere.
                 assert (await client.read_response()).status == 503
             assert await asyncio.to_thread(program.wait) == 0
--- a/tests/proxy/test_request_parsing.py
+++ b/tests/proxy/test_request_parsing.py
@@ -1,4 +1,4 @@
-"""Requests as clients send them: which are parsed, and which get an error response at once."""
+"""Requests from clients: which are accepted, and which get an error response at once."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from loadbalancer.actions import Reject
 from loadbalancer.events import IncomingRequest
 from tests.support.loopback import HttpClient, StalledBackend, running_proxy, send_request, until
-from tests.support.messages import reply, request
+from tests.support.messages import request, response_bytes
 from tests.support.scripted_policy import acting_on, script_policy
 
 
@@ -63,23 +63,23 @@
 async def test_body_of_64_kib_passes_with_a_length_and_chunked(backend, proxy):
     assert (await send_request(proxy, request("post", "q1", b"x" * 65536))).status == 200
     assert (await send_request(proxy, CHUNKED + b"3\r\nabc\r\n0\r\n\r\n")).status == 200
-    assert [len(message.body) for message in backend.seen] == [65536, 3]
+    assert [len(message.body) for message in backend.received] == [65536, 3]
 
 
 async def test_request_id_that_is_pending_is_not_sent_twice():
     server = StalledBackend()
     async with running_proxy(server) as proxy:
         first = asyncio.create_task(send_request(proxy, request("post", "q1")))
-        await until(lambda: server.seen)
+        await until(lambda: server.received)
         assert (await send_request(proxy, request("post", "q1"))).status == 400
         server.release.set()
         assert (await first).status == 200
-        assert len(server.seen) == 1
+        assert len(server.received) == 1
 
 
 async def test_pipelined_requests_get_their_responses_in_order(backend, proxy):
-    backend.script = lambda message: asyncio.sleep(0, reply(200, message.body))
+    backend.script = lambda message: asyncio.sleep(0, response_bytes(200, message.body))
     client = await HttpClient.to(proxy)
-    client.writer.write(b"".join(request("post", f"q{at}", b"%d" % at) for at in range(5)))
+    client.writer.write(b"".join(request("post", f"q{index}", b"%d" % index) for index in range(5)))
     assert [(await client.read_response()).body for _ in range(5)] == [b"0", b"1", b"2", b"3", b"4"]
     assert (await client.send(request("post", "q9", b"9"))).body == b"9"
--- a/tests/proxy/test_upstream_attempt.py
+++ b/tests/proxy/test_upstream_attempt.py
@@ -1,4 +1,4 @@
-"""Attempts against scripted endpoints: each ends with one result."""
+"""Attempts to scripted endpoints, each of which ends with one result."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from loadbalancer.events import AttemptResult
 from loadbalancer.http.addresses import socket_address
 from tests.support.loopback import LoopbackServer, always, until
-from tests.support.messages import reply
+from tests.support.messages import response_bytes
 from tests.support.proxy import REQUEST_BYTES, ManualServer, attempt_result, open_pool
 from tests.support.sockets import close_by_reset, unaccepting_listener
 
@@ -32,32 +32,32 @@
 @pytest.mark.parametrize(
     ("response", "expected"),
     [
-        pytest.param(reply(200), AttemptResult.OK, id="200"),
-        pytest.param(reply(500), AttemptResult.ERROR, id="500"),
-        pytest.param(reply(503, Srv_Declined="1"), AttemptResult.REJECTED, id="503 declined"),
-        pytest.param(reply(504, Srv_Declined="1"), AttemptResult.REJECTED, id="504 declined"),
-        pytest.param(reply(503), AttemptResult.ERROR, id="503"),
-        pytest.param(reply(504), AttemptResult.ERROR, id="504"),
-        pytest.param(reply(418), AttemptResult.ERROR, id="418"),
-        pytest.param(reply(200, Srv_Declined="1"), AttemptResult.OK, id="200 declined"),
-        pytest.param(b"HTTP/1.1 100 Continue\r\n\r\n" + reply(200), AttemptResult.OK, id="100 before 200"),
+        pytest.param(response_bytes(200), AttemptResult.OK, id="200"),
+        pytest.param(response_bytes(500), AttemptResult.ERROR, id="500"),
+        pytest.param(response_bytes(503, Srv_Declined="1"), AttemptResult.REJECTED, id="503 declined"),
+        pytest.param(response_bytes(504, Srv_Declined="1"), AttemptResult.REJECTED, id="504 declined"),
+        pytest.param(response_bytes(503), AttemptResult.ERROR, id="503"),
+        pytest.param(response_bytes(504), AttemptResult.ERROR, id="504"),
+        pytest.param(response_bytes(418), AttemptResult.ERROR, id="418"),
+        pytest.param(response_bytes(200, Srv_Declined="1"), AttemptResult.OK, id="200 declined"),
+        pytest.param(b"HTTP/1.1 100 Continue\r\n\r\n" + response_bytes(200), AttemptResult.OK, id="100, 200"),
         pytest.param(None, AttemptResult.RESET, id="closed"),
         pytest.param(b"not http at all\r\n\r\n", AttemptResult.RESET, id="no HTTP"),
     ],
 )
-async def test_response_gives_the_result_of_the_protocol(response, expected, pool):
+async def test_response_determines_the_result_of_its_attempt(response, expected, pool):
     async with LoopbackServer(always(response)) as server:
         pool.add("s", server.address)
         assert await attempt_result(pool) is expected
-        assert len(server.seen) == 1  # no request is ever sent a second time by itself
+        assert len(server.received) == 1  # an attempt never retries
 
 
 async def test_truncated_response_is_a_reset(pool):
     async with ManualServer() as server:
         pool.add("s", server.address)
         result = asyncio.create_task(attempt_result(pool))
-        await until(lambda: server.links)
-        ((reader, writer),) = server.links
+        await until(lambda: server.streams)
+        ((reader, writer),) = server.streams
         await reader.readuntil(b"\r\n\r\n")
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\npart")
         writer.close()
--- a/tests/support/proxy.py
+++ b/tests/support/proxy.py
@@ -1,4 +1,4 @@
-"""Builders for the tests of the proxy's own modules."""
+"""Connection pools, attempts and servers for the tests of the proxy's modules."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class FixedRequest:
-    """A request of given bytes that is always needed."""
+    """The request of an attempt, with given bytes; it always still has to be sent."""
 
     def __init__(self, data: bytes, on_result: OnResult) -> None:
         self.data = data
@@ -44,7 +44,7 @@
     data: bytes = REQUEST_BYTES,
     timeout_s: float = 20.0,
 ) -> UpstreamAttempt:
-    """Send a request to the endpoint of this name; the test names one that the pool has."""
+    """Send a request to the endpoint of this name, which has to be in the pool."""
     connections = pool.get(endpoint)
     assert connections is not None
     attempt = UpstreamAttempt(pool, FixedRequest(data, on_result), timeout_s)
@@ -55,7 +55,7 @@
 async def attempt_result(
     pool: ConnectionPool, endpoint: str = "s", data: bytes = REQUEST_BYTES, timeout_s: float = 20.0
 ) -> AttemptResult:
-    """The result of one attempt; a second result of it would raise."""
+    """The result of one attempt; a second result raises InvalidStateError."""
     ended: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
     start_attempt(pool, endpoint, lambda result, _: ended.set_result(result), data, timeout_s)
     return await ended
@@ -77,31 +77,31 @@
 
 
 class ManualServer(LoopbackServer):
-    """A server whose test reads and writes each of its connections itself."""
+    """A server whose test itself reads and writes the streams of each connection."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.links: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
+        self.streams: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.links.append((reader, writer))
+        self.streams.append((reader, writer))
 
 
-class GatedConnects:
-    """Holds back the connections that a proxy's pool opens, after the first few, until the gate is set."""
+class BlockedConnects:
+    """Blocks each connect of a proxy's pool after the first `allowed` ones until `unblock` is set."""
 
-    def __init__(self, proxy: Proxy, at_once: int = 0) -> None:
-        self.gate = asyncio.Event()
-        self.connects = 0
-        self.at_once = at_once
+    def __init__(self, proxy: Proxy, allowed: int = 0) -> None:
+        self.unblock = asyncio.Event()
+        self.connect_count = 0
+        self.allowed = allowed
         self.connect_now = proxy.pool.connect
         proxy.pool.connect = self._connect  # type: ignore[method-assign]
         proxy.pool.connect_timeout_s = 60.0
 
     async def _connect(self, address: Address) -> ClientConnection:
-        self.connects += 1
-        if self.connects > self.at_once:
-            await self.gate.wait()
+        self.connect_count += 1
+        if self.connect_count > self.allowed:
+            await self.unblock.wait()
         return await self.connect_now(address)
 
 
