--- a/loadbalancer/policy/discovery_backoff.py
+++ b/loadbalancer/policy/discovery_backoff.py
@@ -15,25 +15,25 @@
     def __init__(self, random: Random, now_ms: float) -> None:
         self._random = random
         self._consecutive_failures = 0
-        self._request_started_ms = now_ms  # start of the latest watch request; its end, once it has ended
+        self._last_request_event_ms = now_ms  # start of the latest watch request; its end, once it has ended
 
     def start_request(self, now_ms: float) -> None:
         """Record that a watch request starts."""
-        self._request_started_ms = now_ms
+        self._last_request_event_ms = now_ms
 
     def observe_success(self, now_ms: float, kind: UpdateKind) -> None:
         """Record that a list arrived, after which the next request starts at once.
 
         A cached list comes from the configuration, so it does not end a series of failures.
         """
-        self._request_started_ms = now_ms
+        self._last_request_event_ms = now_ms
         if kind is not UpdateKind.CACHED:
             self._consecutive_failures = 0
 
     def observe_failure(self, now_ms: float) -> float:
         """Record that a watch request failed; returns the time until the next one, in milliseconds."""
-        request_ms = now_ms - self._request_started_ms
-        self._request_started_ms = now_ms
+        request_ms = now_ms - self._last_request_event_ms
+        self._last_request_event_ms = now_ms
         self._consecutive_failures += 1
         # A full backoff after a long request without a response delays a change by over 6 s after discovery
         # is available again. The backoff is limited to the remainder of the watch cycle after the request.
--- a/loadbalancer/policy/latency_baseline.py
+++ b/loadbalancer/policy/latency_baseline.py
@@ -12,7 +12,7 @@
     BASELINE_GAIN_UP,
     CLASS_GAIN,
     DEFAULT_BASELINE,
-    MIN_BASELINE_OUTCOMES,
+    MIN_BASELINE_MEASUREMENTS,
     SATURATED_LATENCY_FRACTION,
     SMOOTHING_OUTCOMES,
 )
@@ -86,9 +86,9 @@
             return
         # Classes differ in their latency fraction at low load, and short attempts end first. A baseline from
         # one early outcome can be a third too low, and an idle pool then counts as overloaded until the
-        # restart. The first baseline is therefore the median of `MIN_BASELINE_OUTCOMES` outcomes or more.
+        # restart. The first baseline is therefore the median of `MIN_BASELINE_MEASUREMENTS` outcomes or more.
         # Trade-off: load that is present from the start raises the first baseline.
-        if self._baseline is None or len(self._first_fractions) < MIN_BASELINE_OUTCOMES:
+        if self._baseline is None or len(self._first_fractions) < MIN_BASELINE_MEASUREMENTS:
             self._first_fractions += fractions
             self._baseline = self._fraction = upper_median(self._first_fractions) or 0.0
             return
--- a/loadbalancer/policy/parameters.py
+++ b/loadbalancer/policy/parameters.py
@@ -63,7 +63,7 @@
 # the right waits for as many.
 SMOOTHING_OUTCOMES = 20.0
 # Until this many outcomes have measured latency, the baseline is the median of all of them.
-MIN_BASELINE_OUTCOMES = 20
+MIN_BASELINE_MEASUREMENTS = 20
 BASELINE_GAIN_DOWN = 0.1  # gain per period of the baseline towards a lower latency
 # Gain per period of the baseline towards a higher latency, while the cursor is at position 0.
 BASELINE_GAIN_UP = 0.01
--- a/loadbalancer/policy/selection.py
+++ b/loadbalancer/policy/selection.py
@@ -53,14 +53,14 @@
             return None
         current_capacity = self._slow_start.current_capacity
         capacities = [current_capacity(now_ms, endpoint) for endpoint in candidates]
-        sampled, sampled_capacity = candidates, 0.0
+        sampled, candidates_capacity = candidates, 0.0
         if len(candidates) > SAMPLED_ENDPOINTS:
             # If all replicas rank all endpoints of a large pool by the same outdated load reports, they
             # select the same one. Each ranks a random sample only. Trade-off: the best endpoint is often not
             # in the sample.
             sampled = list(dict.fromkeys(self._random.choices(candidates, capacities, k=SAMPLED_ENDPOINTS)))
-            sampled_capacity = sum(capacities)
-        eligible = self._slow_start.draw_eligible(now_ms, sampled, sampled_capacity, weight)
+            candidates_capacity = sum(capacities)
+        eligible = self._slow_start.draw_eligible(now_ms, sampled, candidates_capacity, weight)
         if not eligible:
             eligible = [item for item in candidates if self._slow_start.is_warmed_up(now_ms, item)]
         return min(eligible, key=lambda endpoint: self._rank(now_ms, endpoint, service_class), default=None)
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -35,7 +35,7 @@
         self._window_ms = settings.overload_window_ms
         # Weight of completed attempts per ms, long-term; not updated while most of the pool is warming up.
         self._usual_rate = 0.0
-        self._usual_rate_measured_ms = 0.0
+        self._usual_rate_duration_ms = 0.0
         # Token bucket for attempts while most of the pool is warming up, filled at the usual rate. An attempt
         # takes as many tokens as its weight; with fewer, a warming endpoint is less likely to get it.
         self._attempt_tokens = 0.0
@@ -60,7 +60,7 @@
         self,
         now_ms: float,
         sampled: list[TrackedEndpoint],
-        sampled_capacity: float,
+        candidates_capacity: float,
         weight: float,
     ) -> list[TrackedEndpoint]:
         """The sampled endpoints that may get an attempt; takes tokens if most of the pool is warming up.
@@ -68,7 +68,7 @@
         Args:
             now_ms: the time of the attempt.
             sampled: the endpoints sampled for it.
-            sampled_capacity: the sum of all candidates' capacities; 0 if all candidates are in `sampled`.
+            candidates_capacity: the sum of all candidates' capacities; 0 if all candidates are in `sampled`.
             weight: the weight of the attempt in flight.
         """
         is_warmed_up = self.is_warmed_up
@@ -85,24 +85,24 @@
                 min_capacity * weight / max(self._take_attempt_tokens(now_ms, weight), MIN_ATTEMPT_TOKENS)
             )
         is_eligible = self.is_eligible
-        return [item for item in sampled if is_eligible(now_ms, item, sampled_capacity, pool_capacity)]
+        return [item for item in sampled if is_eligible(now_ms, item, candidates_capacity, pool_capacity)]
 
     def is_eligible(
-        self, now_ms: float, endpoint: TrackedEndpoint, sampled_capacity: float, pool_capacity: float
+        self, now_ms: float, endpoint: TrackedEndpoint, candidates_capacity: float, pool_capacity: float
     ) -> bool:
         """Whether a sampled endpoint may get the attempt; a random draw if it is warming up.
 
-        If each replica only limits the number of its own attempts, those of all replicas together overload a
-        warming endpoint. The chance of an endpoint to be in the sample is up to `SAMPLED_ENDPOINTS` times its
-        share of `sampled_capacity` (0: all candidates are in it). The draw reduces the chance that it is in
-        the sample and eligible to the allowed multiple of its share of `pool_capacity`, so that the limit
-        holds for the sum over any number of replicas. Trade-off: the number of attempts in one overload
-        window varies.
+        If each replica limited only the number of its own attempts, those of all replicas together would
+        overload a warming endpoint. An endpoint is sampled with a probability of up to `SAMPLED_ENDPOINTS`
+        times its share of `candidates_capacity` (0: all candidates are sampled). The draw limits the
+        probability that it is both sampled and eligible to the allowed multiple of its share of
+        `pool_capacity`, so that the limit holds for any number of replicas together. Trade-off: the number of
+        attempts in one overload window varies.
         """
         if self.is_warmed_up(now_ms, endpoint):
             return True
         capacity = self.current_capacity(now_ms, endpoint)
-        chance = min(1.0, SAMPLED_ENDPOINTS * capacity / sampled_capacity) if sampled_capacity else 1.0
+        chance = min(1.0, SAMPLED_ENDPOINTS * capacity / candidates_capacity) if candidates_capacity else 1.0
         return self._random.random() * chance * pool_capacity < self._allowed_factor * capacity
 
     def update_usual_rate(self, now_ms: float, completed_weight: float, period_ms: float) -> None:
@@ -110,8 +110,8 @@
         pool_capacity, min_capacity = self._pool_capacities(now_ms)
         if pool_capacity < min_capacity:
             return
-        self._usual_rate_measured_ms = min(PEAK_RATE_DECAY_MS, self._usual_rate_measured_ms + period_ms)
-        gain = min(1.0, period_ms / self._usual_rate_measured_ms)
+        self._usual_rate_duration_ms = min(PEAK_RATE_DECAY_MS, self._usual_rate_duration_ms + period_ms)
+        gain = min(1.0, period_ms / self._usual_rate_duration_ms)
         self._usual_rate += gain * (completed_weight / period_ms - self._usual_rate)
         self._attempt_tokens = 0.0
         self._refilled_ms = now_ms
