--- a/loadbalancer/policy/selection.py
+++ b/loadbalancer/policy/selection.py
@@ -1,6 +1,7 @@
-"""Endpoint selection: a few endpoints are sampled by capacity, and the best ranked one gets the attempt.
+"""Endpoint selection: a few endpoints are sampled by capacity; the one of the lowest rank gets the attempt.
 
-If slow start excludes all of the sample, the best ranked of all endpoints that have warmed up gets it.
+The rank of an endpoint is the expected cost of an attempt there. If slow start excludes the whole sample, the
+lowest rank among all endpoints that have warmed up decides.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 
 
 class EndpointSelector:
-    """Selects the endpoint of an attempt by the power of d choices."""
+    """Selects the endpoint of an attempt by the power of d choices: the best of d sampled at random."""
 
     def __init__(
         self,
@@ -42,7 +43,7 @@
         self._slow_start = slow_start
         self._zone = settings.zone
         self._cross_zone_attempts = CROSS_ZONE_ATTEMPTS * settings.cross_zone_price
-        # The queue assumed at a warmed-up endpoint of mean capacity without a fresh load report.
+        # The queue assumed at a warmed-up endpoint without a load report, whatever its capacity.
         self._assumed_queue = 0.0
 
     def select(
@@ -55,9 +56,9 @@
         capacities = [current_capacity(now_ms, endpoint) for endpoint in candidates]
         sampled, candidates_capacity = candidates, 0.0
         if len(candidates) > SAMPLED_ENDPOINTS:
-            # If all replicas rank all endpoints of a large pool by the same outdated load reports, they
-            # select the same one. Each ranks a random sample only. Trade-off: the best endpoint is often not
-            # in the sample.
+            # If all replicas ranked all endpoints of a large pool by the same outdated load reports, they
+            # would select the same one. Each ranks a random sample only. Trade-off: the endpoint with the
+            # lowest rank is often not in the sample.
             sampled = list(dict.fromkeys(self._random.choices(candidates, capacities, k=SAMPLED_ENDPOINTS)))
             candidates_capacity = sum(capacities)
         eligible = self._slow_start.draw_eligible(now_ms, sampled, candidates_capacity, weight)
@@ -66,10 +67,11 @@
         return min(eligible, key=lambda endpoint: self._rank(now_ms, endpoint, service_class), default=None)
 
     def update_assumed_queue(self, now_ms: float, reporting: list[TrackedEndpoint]) -> None:
-        """Set the queue assumed at endpoints without a fresh load report: the mean of those that have one."""
-        # Without regard to capacity, the rank favours the smallest endpoints of a sample. In large pools,
-        # where most endpoints have no fresh report, they get several times their share and are saturated
-        # while large ones are idle. The assumed queue is therefore proportional to capacity.
+        """Set the queue that is assumed at endpoints without a fresh load report.
+
+        It is the total reported queue divided by the total capacity of the reporting endpoints, times the
+        mean full capacity of the pool.
+        """
         capacity = sum([self._slow_start.current_capacity(now_ms, endpoint) for endpoint in reporting])
         if not capacity:
             self._assumed_queue = 0.0
@@ -80,7 +82,7 @@
         self._assumed_queue = reported_queue / capacity * mean_full_capacity
 
     def _rank(self, now_ms: float, endpoint: TrackedEndpoint, service_class: str) -> float:
-        """Expected latency times queue position, over the success factor; the lowest rank is the best."""
+        """The expected latency times the queue position, divided by the success factor."""
         queue_position = endpoint.in_flight + self._expected_queue(now_ms, endpoint) + 1.0
         queue_position += 0.0 if endpoint.listed.zone == self._zone else self._cross_zone_attempts
         cost = self._expected_latency(now_ms, endpoint) * queue_position
@@ -88,16 +90,16 @@
         return cost * (1.0 + RANK_JITTER * (self._random.random() - 0.5))
 
     def _expected_latency(self, now_ms: float, endpoint: TrackedEndpoint) -> float:
-        """Latency over the mean of its class; without new measurements, it decays to the mean, which is 1."""
+        """Ratio of latency to the mean of its class; without new measurements, it decays to 1, the mean."""
         expected = 1.0
         if endpoint.relative_latency is not None:
             decay = math.exp((endpoint.measured_ms - now_ms) / LATENCY_DECAY_MS)
             expected += (endpoint.relative_latency - 1.0) * decay
         if endpoint.outstanding:
-            # An endpoint that accepts attempts and never responds would keep its good rank until the first
+            # An endpoint that accepts attempts and never responds would keep its low rank until the first
             # time-outs. The age of its oldest outstanding attempt counts as its latency if none has been
-            # measured since that attempt. Trade-off: one slow attempt gives an endpoint without other
-            # traffic a worse rank.
+            # measured since that attempt was sent. Trade-off: one slow attempt raises the rank of an endpoint
+            # without other traffic.
             oldest = next(iter(endpoint.outstanding))
             if endpoint.measured_ms <= oldest.sent_ms:
                 mean_ms = self._class_latency.mean_ms(oldest.service_class)
@@ -106,6 +108,11 @@
 
     def _expected_queue(self, now_ms: float, endpoint: TrackedEndpoint) -> float:
         """The reported queue, which decays to the assumed queue with the age of the report."""
+        # If the assumed queue were in proportion to an endpoint's capacity, the smallest endpoints of a
+        # sample would have the lowest rank. In large pools, where most endpoints have no fresh report, they
+        # would get several times their share and be saturated while large ones are idle. The assumed queue is
+        # therefore the same for endpoints of every capacity, and reduced only by what an endpoint still lacks
+        # in slow start.
         current_capacity = self._slow_start.current_capacity(now_ms, endpoint)
         assumed = self._assumed_queue * current_capacity / endpoint.full_capacity
         decay = math.exp((endpoint.reported_ms - now_ms) / QUEUE_REPORT_DECAY_MS)
@@ -114,8 +121,8 @@
     def _success_factor(self, now_ms: float, endpoint: TrackedEndpoint, service_class: str) -> float:
         """A power of the success ratio of a service class at an endpoint.
 
-        New endpoints can fail nine in ten attempts of one class at once, and serve the other classes. With
-        one ratio for all classes, they continue to get attempts of that class, which must not be repeated.
+        New endpoints can fail nine in ten attempts of one class while they serve the other classes. With one
+        ratio for all classes, they would continue to get attempts of that class, which must not be repeated.
         Each class therefore has its own ratio. Trade-off: a fault that affects all classes lowers the ratio
         of each class only after failures of that class.
         """
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -1,9 +1,9 @@
 """Slow start: the capacity of endpoints that are warming up, and the limit on the attempts sent to them.
 
-The capacity of an endpoint rises linearly from its start until it has warmed up. Its share of all attempts is
-its current capacity over that of the pool; an endpoint that gets more than the overload factor times its
-share for an overload window fails. A random draw per attempt limits all replicas together to a fraction of
-that, without any coordination between them.
+The capacity of an endpoint is assumed to rise linearly from its start until it has warmed up. Its share of
+all attempts is its current capacity divided by that of the pool. A process in slow start fails if it gets the
+overload factor times its share for an overload window; both are settings. A random draw per attempt limits
+all replicas together to a fraction of that, without any coordination between them.
 """
 
 from __future__ import annotations
@@ -35,9 +35,10 @@
         self._window_ms = settings.overload_window_ms
         # Weight of completed attempts per ms, long-term; not updated while most of the pool is warming up.
         self._usual_rate = 0.0
-        self._usual_rate_duration_ms = 0.0
+        self._usual_rate_duration_ms = 0.0  # for which it has been measured, up to `PEAK_RATE_DECAY_MS`
         # Token bucket for attempts while most of the pool is warming up, filled at the usual rate. An attempt
-        # takes as many tokens as its weight; with fewer, a warming endpoint is less likely to get it.
+        # takes as many tokens as its weight. If fewer remain, `draw_eligible` assumes a larger pool capacity,
+        # which reduces the probability that a warming endpoint gets the attempt.
         self._attempt_tokens = 0.0
         self._refilled_ms = now_ms
 
@@ -47,7 +48,7 @@
         return started_ms is None or now_ms - started_ms >= self._ramp_ms
 
     def current_capacity(self, now_ms: float, endpoint: TrackedEndpoint) -> float:
-        """A lower bound of the endpoint's capacity at this time; it rises linearly during slow start."""
+        """The assumed capacity of the endpoint at this time; it rises linearly during slow start."""
         started_ms = endpoint.listed.started_ms
         if started_ms is None or now_ms - started_ms >= self._ramp_ms:
             return endpoint.full_capacity
@@ -69,18 +70,21 @@
             now_ms: the time of the attempt.
             sampled: the endpoints sampled for it.
             candidates_capacity: the sum of all candidates' capacities; 0 if all candidates are in `sampled`.
-            weight: the weight of the attempt in flight.
+            weight: the weight in flight of the attempt, which is also the number of tokens that it takes.
         """
         is_warmed_up = self.is_warmed_up
         if all([is_warmed_up(now_ms, endpoint) for endpoint in sampled]):
             return sampled
         pool_capacity, min_capacity = self._pool_capacities(now_ms)
         if pool_capacity >= min_capacity or self._usual_rate <= 0.0:
-            # Shares add up to all attempts, which overload a pool while all of it is warming up. They assume
-            # at least the minimum capacity. Trade-off: attempts are held back that the pool has capacity for.
+            # No usual rate is known, or the pool has at least the minimum capacity. The shares of the current
+            # capacity add up to all attempts, which would overload a pool that is warming up as a whole. The
+            # shares are therefore computed from at least the minimum capacity. Trade-off: attempts are held
+            # back that the pool has capacity for.
             pool_capacity = max(pool_capacity, min_capacity)
         else:
-            # Over the usual rate, fewer tokens give a larger pool capacity, so smaller shares.
+            # When attempts come faster than the usual rate, few tokens remain. The pool capacity assumed here
+            # is then larger, and the shares smaller.
             pool_capacity = (
                 min_capacity * weight / max(self._take_attempt_tokens(now_ms, weight), MIN_ATTEMPT_TOKENS)
             )
@@ -106,7 +110,10 @@
         return self._random.random() * chance * pool_capacity < self._allowed_factor * capacity
 
     def update_usual_rate(self, now_ms: float, completed_weight: float, period_ms: float) -> None:
-        """Update the usual rate with the weight completed in a period, unless the pool is warming up."""
+        """Update the usual rate with the weight completed in a period, and empty the token bucket.
+
+        While most of the pool is warming up, nothing changes.
+        """
         pool_capacity, min_capacity = self._pool_capacities(now_ms)
         if pool_capacity < min_capacity:
             return
@@ -119,10 +126,11 @@
     def _take_attempt_tokens(self, now_ms: float, weight: float) -> float:
         """Take up to `weight` tokens and return the number; the bucket holds those of one overload window.
 
-        While most endpoints are warming up, clients that retry at once after each rejection cause a new draw
-        for each retry, and warming endpoints get several times the attempts that they have capacity for.
-        Attempts over the usual rate therefore get no tokens, and their chance is close to 0. Trade-off: new
-        traffic above the usual rate gets hardly any attempts until the pool has warmed up.
+        Clients that retry at once after each rejection cause a new draw for each retry. Without the bucket,
+        warming endpoints would get several times the attempts that they have capacity for while most of the
+        pool is warming up. Attempts above the usual rate therefore get no tokens, and the probability that a
+        warming endpoint gets them is close to 0. Trade-off: new traffic above the usual rate gets hardly any
+        attempts until the pool has warmed up.
         """
         max_tokens = self._usual_rate * self._window_ms
         tokens = self._attempt_tokens + self._usual_rate * (now_ms - self._refilled_ms)
