--- a/loadbalancer/policy/attempts.py
+++ b/loadbalancer/policy/attempts.py
@@ -7,9 +7,13 @@
 
 
 class AttemptState:
-    """One attempt; `result` is None while it is in flight, and set by its endpoint's `end_attempt`.
+    """One attempt; compares and hashes by identity, so that it can be a key.
 
-    Attempts compare and hash by identity, so that they can be keys.
+    Attributes:
+        service_class: the name of its request's service class.
+        weight: its weight in flight.
+        sent_ms: when the policy returned its `Send`.
+        result: None while its outcome is pending; set by its endpoint's `end_attempt`.
     """
 
     __slots__ = ("result", "sent_ms", "service_class", "weight")
@@ -22,7 +26,12 @@
 
 
 class AbandonedAttempt:
-    """An attempt that this proxy stopped, and that its endpoint may execute until `expected_end_ms`."""
+    """An attempt that this proxy has timed out or cancelled, and that its endpoint may continue to execute.
+
+    Attributes:
+        expected_end_ms: until when it is expected to be executed.
+        weight: its weight in flight.
+    """
 
     __slots__ = ("expected_end_ms", "weight")
 
@@ -41,7 +50,10 @@
         self.updated_ms = 0.0
 
     def observe(self, now_ms: float, result: AttemptResult) -> None:
-        """Update the ratio with the result of an attempt; any result but OK counts as a failure."""
+        """Update the ratio with the result of an attempt; any result but OK counts as a failure.
+
+        `OutcomeRecorder` passes no result of rejected, cancelled and unsent attempts.
+        """
         succeeded = result is AttemptResult.OK
         gain = ENDPOINT_GAIN if succeeded else FAILURE_GAIN
         self.value += gain * ((not succeeded) - self.value)
--- a/loadbalancer/policy/endpoint_set.py
+++ b/loadbalancer/policy/endpoint_set.py
@@ -56,18 +56,18 @@
         return self._reports_in_flight
 
     def in_flight(self) -> float:
-        """Weight of this proxy's attempts in flight at all ready endpoints."""
+        """Weight in flight of this proxy at all ready endpoints, including abandoned attempts."""
         return sum([endpoint.in_flight for endpoint in self._ready])
 
     def reporting(self, now_ms: float) -> list[TrackedEndpoint]:
-        """The ready endpoints whose last load report is fresh."""
-        # A proxy that rejects all requests gets no new load reports, and without an age limit continues to
-        # reject because of the last ones. A report counts for `REPORT_FRESHNESS_MS` only. Trade-off: a proxy
-        # with little traffic has no load reports between its requests.
+        """The ready endpoints whose last load report, or rejection of an attempt, is fresh."""
+        # A proxy that rejects all requests gets no new load reports, and without an age limit would continue
+        # to reject because of the last ones. A report counts for `REPORT_FRESHNESS_MS` only. Trade-off: a
+        # proxy with little traffic has no load reports between its requests.
         return [endpoint for endpoint in self._ready if endpoint.reported_ms >= now_ms - REPORT_FRESHNESS_MS]
 
     def expire_abandoned(self, now_ms: float) -> None:
-        """Remove abandoned attempts whose expected end has passed from the counts of ready endpoints."""
+        """Remove expired abandoned attempts from the weight in flight of each ready endpoint."""
         for endpoint in self._ready:
             endpoint.expire_abandoned(now_ms)
 
--- a/loadbalancer/policy/outcome_recorder.py
+++ b/loadbalancer/policy/outcome_recorder.py
@@ -67,8 +67,9 @@
             self._completion_rate.observe(service_class, weight)
 
     def _observe_cancelled(self, service_class: ServiceClass, latency_ms: float) -> None:
-        # Clients abandon slow requests; without their attempts, the latency of a congested pool is estimated
-        # too low. A cancelled attempt that took longer than the mean of its class counts with its duration.
+        # Clients disconnect from slow requests; without their attempts, the latency of a congested pool would
+        # be estimated too low. A cancelled attempt that took longer than the mean of its class counts with
+        # its duration.
         mean_ms = self._class_latency.mean_ms(service_class.name)
         if mean_ms is not None and latency_ms > mean_ms:
             self._latency.observe(latency_ms / service_class.latency_objective_ms)
--- a/loadbalancer/policy/tracked_endpoint.py
+++ b/loadbalancer/policy/tracked_endpoint.py
@@ -18,17 +18,18 @@
     Attributes:
         listed: the entry of the process in the endpoint list.
         full_capacity: its capacity once warmed up, relative to the other endpoints.
-        in_flight: weight of this proxy's attempts in flight, including abandoned ones that may still be
+        in_flight: weight in flight of this proxy's attempts there, including abandoned ones that may still be
             executed.
         outstanding: attempts whose outcome is pending, oldest first; an ordered set.
-        abandoned: attempts that were stopped, oldest first.
-        relative_latency: smoothed latency over the mean of the service class; None before the first
+        abandoned: attempts that this proxy has timed out or cancelled and that count as in flight, oldest
+            first.
+        relative_latency: smoothed ratio of latency to the mean of the service class; None before the first
             measurement.
         measured_ms: when its latency was last measured, by a response or a time-out.
         failure_ratios: by service class.
-        reported_queue: requests that wait there, or that other proxies have in flight there, by the last
-            load report.
-        reported_ms: when that report arrived.
+        reported_queue: by the last load report, the requests that wait there, or, if it does not include
+            them, those that other proxies have in flight there; a rejection can raise it.
+        reported_ms: when the last load report or rejection arrived.
         utilisation: from the last report that included it.
     """
 
@@ -65,27 +66,30 @@
         self.full_capacity = full_capacity
 
     def start_attempt(self, service_class: str, weight: float, now_ms: float) -> AttemptState:
-        """Count a new attempt as in flight here and return its state."""
+        """Add the weight of a new attempt to the weight in flight here, and return the attempt's state."""
         attempt = AttemptState(service_class, weight, now_ms)
         self.outstanding[attempt] = None
         self.in_flight += weight
         return attempt
 
     def end_attempt(self, attempt: AttemptState, result: AttemptResult, expected_end_ms: float) -> None:
-        """Set the attempt's result; one that was stopped counts as in flight until `expected_end_ms`."""
+        """Set the attempt's result; an abandoned one counts as in flight until `expire_abandoned`."""
         attempt.result = result
         self.outstanding.pop(attempt, None)
         if result is AttemptResult.TIMEOUT or result is AttemptResult.CANCELLED:
-            # An endpoint can continue to execute attempts that this proxy stopped. When clients disconnect
-            # early, endpoints that count as half empty are otherwise congested until they become slow. A
-            # stopped attempt therefore counts as in flight for the mean latency of its class. Trade-off: the
-            # count is too high for that time at an endpoint that stops at once.
+            # An endpoint can continue to execute abandoned attempts. If these did not count, endpoints would
+            # be taken for half empty when clients disconnect early, and be congested until they become slow.
+            # An abandoned attempt therefore counts as in flight for the mean latency of its class. Trade-off:
+            # the weight in flight is too high for that time at an endpoint that stops at once.
             self.abandoned.append(AbandonedAttempt(expected_end_ms, attempt.weight))
         else:
             self.in_flight = max(0.0, self.in_flight - attempt.weight)
 
     def expire_abandoned(self, now_ms: float) -> None:
-        """Remove the abandoned attempts whose expected end has passed from the count in flight."""
+        """Remove abandoned attempts from the weight in flight, up to the first that may still be executed.
+
+        Called at the end of each period. The order is that in which the attempts were abandoned.
+        """
         while self.abandoned and self.abandoned[0].expected_end_ms <= now_ms:
             self.in_flight = max(0.0, self.in_flight - self.abandoned.popleft().weight)
 
@@ -97,7 +101,7 @@
         ratio.observe(now_ms, result)
 
     def observe_latency(self, now_ms: float, relative_latency: float) -> None:
-        """Update the smoothed latency with an attempt's latency over the mean of its class."""
+        """Update the smoothed latency with the ratio of an attempt's latency to the mean of its class."""
         if self.relative_latency is None:
             self.relative_latency = relative_latency
         else:
@@ -110,7 +114,7 @@
         self.reported_ms = now_ms
 
     def observe_load_report(self, now_ms: float, report: LoadReport) -> None:
-        """Store a load report; its requests in flight include the attempts of this proxy."""
+        """Store a load report; this proxy's attempts are subtracted from its requests in flight."""
         others_in_flight = max(0.0, (report.in_flight or 0.0) - self.in_flight)
         self.reported_queue = others_in_flight if report.queue is None else report.queue
         self.reported_ms = now_ms
