--- a/loadbalancer/policy/admission.py
+++ b/loadbalancer/policy/admission.py
@@ -1,11 +1,14 @@
 """Admission control: requests are admitted or rejected on arrival, by priority and attempts in flight.
 
-A request is admitted if the weight of the proxy's attempts in flight is below the threshold that the cursor
-table holds for the cursor's position and the request's priority; with less than 1 left to the threshold, it
-is admitted with that probability. Once per period, the cursor moves by at most one position: to the right,
-where thresholds are lower, if the load of the pool is over its target, and else back to the left. Thresholds
-fall faster for lower priorities, so that these are rejected first. All thresholds are in proportion to the
-full threshold, which follows from the rate at which the pool completes attempts.
+The cursor table holds a threshold for the cursor's position and the request's priority. The remainder is this
+threshold minus the weight of the proxy's attempts in flight at ready endpoints, including abandoned ones. A
+request is admitted with the remainder as its probability: always from 1 upwards, never at 0 or less.
+
+Once per period, the cursor moves by at most one position: to the right, where thresholds are lower, if the
+load of the pool is above its target, and else back to the left; a move right waits for outcomes of attempts
+(cursor_table.py). Thresholds fall faster for lower priorities, so that these are rejected first. All
+thresholds from `MIN_THRESHOLD` upwards are in proportion to the full threshold, which follows from the rate
+at which the pool completes attempts.
 """
 
 from __future__ import annotations
@@ -32,10 +35,11 @@
 
 
 class FullThreshold:
-    """The threshold of attempts in flight for the highest priority while the pool is not overloaded.
+    """The threshold of the weight in flight for the highest priority while the pool is not overloaded.
 
-    By Little's law, it follows from the pool's peak completion rate and an allowed latency, within bounds per
-    endpoint.
+    By Little's law (the number in flight is the rate times the latency), it follows from the pool's peak
+    completion rate and an allowed latency, within bounds per endpoint. Standard deviations are added to the
+    bounded value.
     """
 
     def __init__(
@@ -52,8 +56,9 @@
 
     def value(self, ready_count: int) -> float:
         """The threshold with this number of ready endpoints, as a weight in flight."""
-        # With many replicas, a minimum of one attempt per replica adds up to a threshold that never takes
-        # effect. All replicas therefore share the minimum. Trade-off: it can be less than one attempt.
+        # With a minimum of one attempt per replica, the sum over many replicas would be above any threshold
+        # that limits the load. All replicas therefore share the minimum. Trade-off: it can be less than one
+        # attempt.
         is_starting = self._completion_rate.is_starting()
         minimum = STARTUP_IN_FLIGHT_PER_ENDPOINT if is_starting else MIN_IN_FLIGHT_PER_ENDPOINT
         latency_fraction = self._latency.between_baseline_and_objective(FULL_THRESHOLD_HEADROOM_FRACTION)
@@ -65,7 +70,7 @@
 
 
 class AdmissionControl:
-    """Admits or rejects requests by priority weight and attempts in flight."""
+    """Admits or rejects requests by priority weight and weight in flight."""
 
     def __init__(
         self,
@@ -106,9 +111,10 @@
         over_quota = not self.take_quota_token(now_ms, request.tenant)
         priority_weight = self.priority_weight(request, service_class, over_quota=over_quota)
         remaining = self.threshold(priority_weight, len(self._endpoints.ready)) - in_flight
-        # With hundreds of replicas, one attempt from each is enough to keep the pool congested. A remainder
-        # below one attempt is therefore the probability that the request is admitted. Trade-off: at very low
-        # thresholds, the admission of a single request is random.
+        # One attempt from each of hundreds of replicas is enough to keep the pool congested, so that a
+        # replica with a threshold below 1 must not admit every request while it has no attempt in flight. A
+        # remainder below 1 is therefore the probability of admission. Trade-off: at very low thresholds, the
+        # admission of a single request is random.
         return remaining >= 1.0 or self._random.random() < remaining
 
     def take_quota_token(self, now_ms: float, tenant: str | None) -> bool:
@@ -119,7 +125,7 @@
     def priority_weight(
         self, request: IncomingRequest, service_class: ServiceClass, *, over_quota: bool
     ) -> float:
-        """Priority weight over that of the highest class; lower for client retries and over the quota."""
+        """Ratio of a priority weight to the highest one; lower for client retries and above the quota."""
         weight = service_class.priority_weight / self._max_priority_weight
         if request.is_retry:
             weight *= RETRY_PRIORITY_FACTOR
--- a/loadbalancer/policy/completion_rate.py
+++ b/loadbalancer/policy/completion_rate.py
@@ -12,12 +12,12 @@
 
 
 class CompletionRate:
-    """Estimates the rate of successful attempts once per period, as weight per millisecond."""
+    """Estimates the rate of successful attempts per period, as the sum of their weights per millisecond."""
 
     def __init__(self, settings: Settings, period_ms: float) -> None:
         self._period_ms = period_ms
         self._ended_periods = 0
-        self._period_weight = 0.0  # completed in the current period
+        self._period_weight = 0.0  # of the attempts completed in the current period
         self._rate = 0.0  # weight per ms, smoothed
         self._peak_rate = 0.0
         objectives_ms = [service_class.latency_objective_ms for service_class in settings.classes]
@@ -25,7 +25,7 @@
 
     @property
     def period_weight(self) -> float:
-        """The weight of the attempts completed in the current period."""
+        """The sum of the weights of the attempts completed in the current period."""
         return self._period_weight
 
     def is_starting(self) -> bool:
@@ -33,7 +33,7 @@
         return self._ended_periods * self._period_ms < STARTUP_MS
 
     def sustainable_in_flight(self, latency_fraction: float) -> float:
-        """The weight in flight at the peak rate and a latency fraction, by Little's law."""
+        """The weight in flight at the peak rate and a latency fraction: rate times latency (Little's law)."""
         return self._peak_rate * self._mean_objective_ms * latency_fraction
 
     def observe(self, service_class: ServiceClass, weight: float) -> None:
--- a/loadbalancer/policy/cursor_table.py
+++ b/loadbalancer/policy/cursor_table.py
@@ -1,4 +1,8 @@
-"""The cursor table: thresholds by position and priority row, and the cursor that selects the position."""
+"""The cursor table: thresholds by position and priority row, and the cursor that selects the position.
+
+A priority row is a number from 0, for the highest priority weight, to 1, for the lowest ones. The thresholds
+of a row are computed; only the factors of the positions are stored. Positions 0 and 1 have the same factor.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +31,7 @@
 
 
 class CursorTable:
-    """A table of thresholds by position and priority row, and the cursor that load moves over its positions.
+    """A table of thresholds by position and priority row, and its cursor, which the load of the pool moves.
 
     Attributes:
         last_position: the position at the right end, which admits the least; 0, at the left end, admits the
@@ -50,7 +54,10 @@
         return self._cursor
 
     def move(self, pool_load: PoolLoad) -> None:
-        """Move the cursor by at most one position: right if the load is over its target, else left."""
+        """Move the cursor by at most one position: right if the load is above its target, else left.
+
+        It stays where it is while a move right waits for outcomes.
+        """
         self._outcomes_since_move_right += pool_load.outcomes
         if pool_load.target_ratio <= 1.0:
             self._cursor = max(0, self._cursor - 1)
@@ -67,11 +74,12 @@
         return max(MIN_THRESHOLD, row_threshold * math.pow(self._position_factors[self._cursor], exponent))
 
     def _may_move_right(self, pool_load: PoolLoad) -> bool:
-        # Latency lags load by a round trip. With few outcomes per period, without a wait, all replicas move 6
-        # to 10 positions right before the first move takes effect, and endpoints are left half idle. A move
-        # right therefore waits for `SMOOTHING_OUTCOMES` outcomes since the last one, whichever signal is over
-        # its target. Trade-off: the reaction is slower when load rises faster than responses arrive, so
-        # saturated latency and reported requests in flight over their target bypass the wait.
+        # The latency of an attempt is known only when its response arrives, one response time after the load
+        # that caused it. With few outcomes per period and no wait, all replicas would move 6 to 10 positions
+        # right before the first move shows in latencies, and endpoints would be half idle. A move right
+        # therefore waits for `SMOOTHING_OUTCOMES` outcomes since the last one, whichever signal is above its
+        # target. Trade-off: the reaction is slower when load rises faster than responses arrive. Saturated
+        # latency and reported requests in flight above their target therefore bypass the wait.
         return (
             pool_load.latency_saturated
             or pool_load.in_flight_per_endpoint > TARGET_IN_FLIGHT_PER_ENDPOINT
--- a/loadbalancer/policy/latency_baseline.py
+++ b/loadbalancer/policy/latency_baseline.py
@@ -1,8 +1,8 @@
 """Latency estimates: the mean of each service class, and the smoothed latency of the pool with its baseline.
 
-A latency fraction is a latency over the latency objective of its service class, so that the latencies of
-different classes can be compared. The baseline is the latency fraction of the pool at low load. The latency
-headroom is the distance from the baseline to 1, which is the objective.
+A latency fraction is a latency divided by the latency objective of its service class, so that the latencies
+of different classes can be compared. The baseline is the latency fraction of the pool at low load. The
+latency headroom is the distance from the baseline to 1, which is the objective.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class ClassLatency:
-    """The smoothed latency of each service class over all endpoints, from successful attempts."""
+    """The smoothed latency of each service class at all endpoints, from successful attempts."""
 
     def __init__(self) -> None:
         self._mean_ms: dict[str, float] = {}
@@ -34,7 +34,7 @@
         return self._mean_ms.get(service_class)
 
     def relative(self, service_class: str, latency_ms: float) -> float:
-        """A latency over the mean of its class; 1 before the first response."""
+        """The ratio of a latency to the mean of its class; 1 before the first response."""
         mean_ms = self._mean_ms.get(service_class)
         return latency_ms / mean_ms if mean_ms else 1.0
 
@@ -67,7 +67,7 @@
         return bool(self._period_fractions)
 
     def is_saturated(self) -> bool:
-        """Whether the smoothed latency is so close to the objective that the pool is saturated."""
+        """Whether the smoothed latency fraction is above `SATURATED_LATENCY_FRACTION`."""
         return self._fraction > SATURATED_LATENCY_FRACTION
 
     def between_baseline_and_objective(self, headroom_fraction: float) -> float:
@@ -85,14 +85,14 @@
         if not fractions:
             return
         # Classes differ in their latency fraction at low load, and short attempts end first. A baseline from
-        # one early outcome can be a third too low, and an idle pool then counts as overloaded until the
-        # restart. The first baseline is therefore the median of `MIN_BASELINE_MEASUREMENTS` outcomes or more.
-        # Trade-off: load that is present from the start raises the first baseline.
+        # one early measurement could be a third too low, and an idle pool would then count as overloaded
+        # until the restart. The baseline is therefore the median of all measurements until there are
+        # `MIN_BASELINE_MEASUREMENTS`. Trade-off: load that is present from the start raises this baseline.
         if self._baseline is None or len(self._first_fractions) < MIN_BASELINE_MEASUREMENTS:
             self._first_fractions += fractions
             self._baseline = self._fraction = upper_median(self._first_fractions) or 0.0
             return
-        weight = len(fractions) / (len(fractions) + SMOOTHING_OUTCOMES)  # few outcomes have little weight
+        weight = len(fractions) / (len(fractions) + SMOOTHING_OUTCOMES)  # few measurements have little weight
         self._fraction += weight * ((upper_median(fractions) or 0.0) - self._fraction)
         if self._fraction < self._baseline:
             self._baseline += BASELINE_GAIN_DOWN * (self._fraction - self._baseline)
--- a/loadbalancer/policy/load_estimator.py
+++ b/loadbalancer/policy/load_estimator.py
@@ -21,9 +21,10 @@
 
     Attributes:
         target_ratio: the maximum of the signals; 1 is the target.
-        outcomes: the number of outcomes in this period.
-        in_flight_per_endpoint: the mean weight in flight that endpoints report; 0 if none reports it.
-        latency_saturated: whether the pool's smoothed latency is close to the objective.
+        outcomes: the number of outcomes in this period, without cancelled and unsent attempts.
+        in_flight_per_endpoint: the mean weight in flight from all replicas, estimated from load reports and
+            this proxy's own attempts; 0 without such reports.
+        latency_saturated: whether the pool's smoothed latency fraction is above `SATURATED_LATENCY_FRACTION`.
     """
 
     __slots__ = ("in_flight_per_endpoint", "latency_saturated", "outcomes", "target_ratio")
