--- a/loadbalancer/policy/discovery_backoff.py
+++ b/loadbalancer/policy/discovery_backoff.py
@@ -15,14 +15,14 @@
     def __init__(self, random: Random, now_ms: float) -> None:
         self._random = random
         self._consecutive_failures = 0
-        self._last_request_event_ms = now_ms  # start of the latest watch request; its end, once it has ended
+        self._last_request_event_ms = now_ms  # latest start, success or failure of a watch request
 
     def start_request(self, now_ms: float) -> None:
         """Record that a watch request starts."""
         self._last_request_event_ms = now_ms
 
     def observe_success(self, now_ms: float, kind: UpdateKind) -> None:
-        """Record that a list arrived, after which the next request starts at once.
+        """Record that a list arrived; the duration of the next request counts from here or from its start.
 
         A cached list comes from the configuration, so it does not end a series of failures.
         """
@@ -35,11 +35,11 @@
         request_ms = now_ms - self._last_request_event_ms
         self._last_request_event_ms = now_ms
         self._consecutive_failures += 1
-        # A full backoff after a long request without a response delays a change by over 6 s after discovery
-        # is available again. The backoff is limited to the remainder of the watch cycle after the request.
-        # Trade-off: discovery gets more requests after slow failures.
+        # A full backoff after a long request without a response would delay a change by more than 6 s after
+        # discovery is available again. The backoff is limited to the remainder of the watch cycle after the
+        # request. Trade-off: discovery gets more requests after slow failures.
         remaining_ms = WATCH_CYCLE_MS - max(WATCH_INITIAL_BACKOFF_MS, request_ms)
-        # Without a limit on the doublings, the backoff overflows after 1,024 failures, and the policy fails.
+        # Without a limit on the doublings, the backoff would overflow after 1,024 failures, and raise.
         doublings = min(MAX_BACKOFF_DOUBLINGS, self._consecutive_failures - 1)
         backoff_ms = min(WATCH_INITIAL_BACKOFF_MS * 2.0**doublings, remaining_ms)
         return max(WATCH_INITIAL_BACKOFF_MS, backoff_ms) * self._random.uniform(MIN_BACKOFF_JITTER, 1.0)
--- a/loadbalancer/policy/policy.py
+++ b/loadbalancer/policy/policy.py
@@ -1,12 +1,21 @@
 """The policy: takes the events of loadbalancer/events.py and returns the actions of loadbalancer/actions.py.
 
-On arrival, a request is admitted if the proxy's attempts in flight are below the threshold for its priority,
-and rejected otherwise; once per period, the thresholds are lowered by at most one step if the load of the
-pool is over its target, and raised by one step if it is not (admission.py). Each attempt for an admitted
-request is sent to the best ranked of up to three endpoints, which are sampled at random by capacity
-(selection.py); an endpoint that is warming up gets a limited share of the attempts (slow_start.py). If an
-attempt fails, the request is retried at another endpoint only if a second execution is impossible or harmless
-(retry_rules.py).
+- Host: the program that delivers the events and carries out the actions; the proxy or the simulator adapter.
+- Tier: a level of services that send requests to each other; clients reach tier 0, the entry tier, and it
+  sends requests to lower tiers.
+- Pool: the endpoints of one tier in the endpoint list, to which this proxy sends attempts.
+- Replicas: the proxies that send to the same tier, including this one.
+- Period: the time between two moves of the cursor, which selects the thresholds of admission.
+- Rejection: admission rejects a request, and an endpoint an attempt that it declines to execute. As the final
+  response, a rejection states that the client may retry without harm; a failure does not.
+
+On arrival, a request is admitted if the weight of the proxy's attempts in flight is below the threshold for
+its priority, at random if it is less than 1 below, and rejected otherwise; once per period, the thresholds
+are lowered by at most one step if the load of the pool is above its target, and raised by one step if it is
+not (admission.py). Each attempt for an admitted request is sent to the endpoint of the lowest rank among up
+to three, which are sampled at random by capacity (selection.py); an endpoint that is warming up gets a
+limited share of the attempts (slow_start.py). If an attempt fails, the request is retried at another endpoint
+only if a second execution is impossible or harmless (retry_rules.py).
 
 The policy does no I/O: `LoadBalancingPolicy.handle(now_ms, event)` depends on the settings, the seed and the
 events so far with their times, and on nothing else.
@@ -43,7 +52,7 @@
 from loadbalancer.policy.slow_start import SlowStart
 from loadbalancer.settings import Settings
 
-# Names of timers, which are part of the simulator's protocol.
+# Names of timers; the simulator's SLEEP and ALARM messages carry them.
 PERIOD_TIMER = "period"
 WATCH_TIMER = "watch"
 
@@ -53,15 +62,15 @@
 
     Attributes:
         settings: the configuration, fixed at the start.
-        period_ms: the time between two moves of the cursor.
+        period_ms: the length of a period.
         endpoints: the listed endpoints and their state.
         class_latency: the mean latency of each service class.
         latency: the pool's smoothed latency and its baseline at low load.
         completion_rate: the rate of completed attempts.
-        outcome_counter: the outcomes of the current period.
+        outcome_counter: the numbers of outcomes and rejections in the current period.
         outcome_recorder: updates the four above and the endpoint with each outcome.
         load_estimator: the load of the pool.
-        slow_start: the capacity of endpoints that are warming up, and the limit on their attempts.
+        slow_start: the assumed capacity of endpoints that are warming up, and the limit on their attempts.
         selector: selects the endpoint of an attempt.
         admission: the cursor table and tenants' quotas.
         requests: open requests and their attempts.
@@ -151,7 +160,7 @@
         return [StartWatch()]
 
     def _end_period(self, now_ms: float) -> None:
-        """Update the estimates from the period that ends, and move the cursor by its load."""
+        """Update the estimates from the period that ends, and move the cursor by the load of the pool."""
         self.endpoints.expire_abandoned(now_ms)
         reporting = self.endpoints.reporting(now_ms)
         self.selector.update_assumed_queue(now_ms, reporting)
--- a/loadbalancer/policy/request_state.py
+++ b/loadbalancer/policy/request_state.py
@@ -18,8 +18,9 @@
         weight: the weight in flight of each attempt for it.
         attempts: all attempts, by number.
         tried_endpoints: the endpoint of each attempt, by the same number.
-        done: whether the final response has been given or is no longer needed.
-        streaming: whether a streamed response has begun.
+        done: whether the policy has no final response left to decide on: it has returned one, the host has
+            one (`AttemptOutcome.done`), or the client has disconnected.
+        streaming: whether a streamed response has begun, until the host reports the final response.
     """
 
     __slots__ = (
--- a/loadbalancer/policy/request_tracker.py
+++ b/loadbalancer/policy/request_tracker.py
@@ -1,7 +1,7 @@
 """Tracks open requests from their arrival to their one final response.
 
-A request passes admission control once, on arrival. Its retries are limited by the rules of retries, the
-maximum number of attempts and the remaining time.
+A request passes admission control once, on arrival. It has at most one attempt in flight. Its retries are
+limited by the rules of retries, the maximum number of attempts and the remaining time.
 
 Methods return the actions for the host to carry out, in order.
 """
@@ -33,7 +33,10 @@
 
 
 class RequestTracker:
-    """Admits requests, starts their attempts and retries, and gives each request its one final response."""
+    """Admits requests, starts their attempts and retries, and rejects or fails those that are not served.
+
+    The host itself forwards the response of an attempt that serves a request.
+    """
 
     def __init__(
         self,
@@ -72,7 +75,7 @@
         return self._respond(state)
 
     def finish_attempt(self, now_ms: float, outcome: AttemptOutcome) -> list[Action]:
-        """Record the outcome of an attempt, then end its request, retry it or give its final response.
+        """Record the outcome of an attempt, then end its request, retry it, or reject or fail it.
 
         The outcome of an attempt that is not in flight is ignored.
         """
@@ -93,7 +96,7 @@
         return self._send_or_respond(now_ms, state)
 
     def start_response(self, request_id: str, number: int) -> list[Action]:
-        """Commit a request to the attempt whose streamed response has begun, and cancel the others."""
+        """Commit a request to the attempt whose streamed response has begun, and cancel any other."""
         state = self._open.get(request_id)
         if state is None:
             return []
--- a/loadbalancer/policy/retry_rules.py
+++ b/loadbalancer/policy/retry_rules.py
@@ -2,7 +2,7 @@
 
 A request is retried after an attempt that the endpoint did not process, or if a second execution does no
 harm: the request is idempotent, or the next endpoint drops a repeat by its idempotency key. No endpoint gets
-two attempts for one request.
+two attempts for one request; a restarted process counts as another endpoint.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
     service_class = state.service_class
     if service_class.late_weight <= 0.0 and not service_class.streaming:
         # Responses after the objective have no value for this class and take capacity from other requests. An
-        # attempt is therefore stopped just before the objective. Trade-off: the client gets a rejection or
+        # attempt therefore times out just before the objective. Trade-off: the client gets a rejection or
         # failure instead of a late response.
         objective_ms = service_class.latency_objective_ms * OBJECTIVE_TIMEOUT_FRACTION
         remaining_ms = min(remaining_ms, state.received_ms + objective_ms - now_ms)
@@ -34,9 +34,9 @@
     first = state.first_possibly_executed()
     if first is None:
         return 0.0
-    # A retry whose connection opens late can arrive when the endpoints no longer store its key, and is then
-    # executed a second time. It must start within the deduplication window. Trade-off: a retry that connects
-    # later is dropped.
+    # A retry whose connection opens late could arrive when the endpoints no longer store its key, and would
+    # be executed a second time. It must start within the deduplication window. Trade-off: a retry that
+    # connects later is dropped.
     return state.attempts[first].sent_ms + state.service_class.deduplication_window_ms - now_ms
 
 
@@ -57,7 +57,10 @@
 
 
 def is_client_retry_harmless(state: RequestState) -> bool:
-    """Whether the client may repeat the request: it is idempotent, or was certainly not executed."""
+    """Whether the client may repeat the request: it is idempotent, or was certainly not executed.
+
+    A request with an idempotency key that may have been executed does not count as harmless to repeat.
+    """
     return (
         state.service_class.idempotency is Idempotency.IDEMPOTENT or state.first_possibly_executed() is None
     )
