--- a/loadbalancer/policy/selection.py
+++ b/loadbalancer/policy/selection.py
@@ -1,7 +1,7 @@
 """Endpoint selection: a few endpoints are sampled by capacity; the one of the lowest rank gets the attempt.
 
-The rank of an endpoint is the expected cost of an attempt there. If slow start excludes the whole sample, the
-lowest rank among all endpoints that have warmed up decides.
+The rank of an endpoint is the expected cost of an attempt there. If slow start excludes all of the sample,
+the attempt goes to the endpoint of the lowest rank among all candidates that have warmed up.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
         self._slow_start = slow_start
         self._zone = settings.zone
         self._cross_zone_attempts = CROSS_ZONE_ATTEMPTS * settings.cross_zone_price
-        # The queue assumed at a warmed-up endpoint without a load report, whatever its capacity.
+        # The queue assumed at a warmed-up endpoint without a fresh load report, whatever its capacity.
         self._assumed_queue = 0.0
 
     def select(
