--- a/loadbalancer/discovery/endpoint_list.py
+++ b/loadbalancer/discovery/endpoint_list.py
@@ -16,6 +16,7 @@
     "Terminating": EndpointState.DRAINING,
     "Gone": EndpointState.REMOVED,
 }
+ENTRY_FORMAT = "objects with strings uid, endpoint and state, and numbers pod_group and boot_ms"
 
 
 class EndpointListError(ValueError):
@@ -66,9 +67,7 @@
         ) from error
     except (TypeError, AttributeError, ValueError) as error:
         raise EndpointListError(
-            "targets",
-            f"an entry can't be read ({type(error).__name__}: {error}); expected objects"
-            " with strings uid, endpoint and state, and numbers pod_group and boot_ms",
+            "targets", f"an entry can't be read ({type(error).__name__}: {error}); expected {ENTRY_FORMAT}"
         ) from error
     return EndpointList(revision, complete, endpoints, addresses)
 
