--- a/loadbalancer/policy/parameters.py
+++ b/loadbalancer/policy/parameters.py
@@ -113,7 +113,8 @@
 
 # Slow start. The share of an endpoint is its current capacity divided by that of the pool.
 
-# Fraction of the overload factor; the product is the multiple of its share that a warming endpoint may get.
+# Fraction of the overload factor; the product times a warming endpoint's share is the limit on the fraction
+# of all attempts that are sent to it.
 OVERLOAD_FACTOR_FRACTION = 0.85
 # Fraction of the pool's full capacity from which shares are computed at least; below it, most of the pool
 # counts as warming up.
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -1,9 +1,12 @@
 """Slow start: the capacity of endpoints that are warming up, and the limit on the attempts sent to them.
 
-The capacity of an endpoint is assumed to rise linearly from its start until it has warmed up. Its share of
-all attempts is its current capacity divided by that of the pool. A process in slow start fails if it gets the
-overload factor times its share for an overload window; both are settings. A random draw per attempt limits
-all replicas together to a fraction of that, without any coordination between them.
+An endpoint in slow start that is sent more than `overload_factor` times its current capacity for
+`overload_window_ms` fails. Both are settings; the capacity in attempts per second is not given. Slow start
+therefore approximates the rule by shares. The capacity of an endpoint, relative to the others, is assumed to
+rise linearly from its start until it has warmed up; its share is this current capacity divided by that of the
+pool. A random draw per attempt limits the fraction of all replicas' attempts that a warming endpoint gets to
+`OVERLOAD_FACTOR_FRACTION` times `overload_factor` times its share, without any coordination between replicas.
+While most of the pool is warming up, the pool's capacity is assumed to be higher (`draw_eligible`).
 """
 
 from __future__ import annotations
--- a/loadbalancer/settings.py
+++ b/loadbalancer/settings.py
@@ -98,8 +98,10 @@
     uses_capacity: bool = False  # use the capacities in the endpoint list; else all endpoints count as equal
     slow_start_initial_fraction: float = 1.0  # part of its capacity that an endpoint has when it starts
     slow_start_ms: float = 0.0  # time from its start until an endpoint has its full capacity
-    overload_factor: float = 2.0  # multiple of its share of attempts at which an endpoint in slow start fails
-    overload_window_ms: float = 1500.0  # time for which an endpoint must get that multiple before it fails
+    # An endpoint in slow start that is sent more than `overload_factor` times its current capacity for
+    # `overload_window_ms` fails.
+    overload_factor: float = 2.0
+    overload_window_ms: float = 1500.0
 
     def __post_init__(self) -> None:
         if not self.classes:
