--- a/tests/policy/test_retry_rules.py
+++ b/tests/policy/test_retry_rules.py
@@ -107,7 +107,7 @@
 
 
 def test_slow_attempt_causes_no_hedged_request():
-    """Hedged requests for slow attempts add load during overload."""
+    """A second attempt for a request whose first one is slow adds load during overload."""
     harness = PolicyHarness()
     harness.submit("read")
     assert sends(harness.end_period(600.0)) == []
--- a/tests/support/model_time.py
+++ b/tests/support/model_time.py
@@ -22,7 +22,7 @@
 
 ENDPOINT = ("127.0.0.1:9", "Ready")
 SYN_INTERVALS_S = (1.0, 2.0, 4.0, 8.0, 16.0)  # between one SYN and the next, until one is acknowledged
-# "silent" means no response, "half" a truncated one. Tests derive their seeds from these names.
+# Names of faults, from which tests derive their seeds: "silent" means no response, "half" a truncated one.
 FAULTS = ("silent", "half", "unreachable", "refused", "reset", "unreadable", "any of these")
 
 
