--- a/loadbalancer/policy/admission.py
+++ b/loadbalancer/policy/admission.py
@@ -37,9 +37,9 @@
 class FullThreshold:
     """The threshold of the weight in flight for the highest priority while the pool is not overloaded.
 
-    By Little's law (the number in flight is the rate times the latency), it follows from the pool's peak
-    completion rate and an allowed latency, within bounds per endpoint. Standard deviations are added to the
-    bounded value.
+    By Little's law (the number in flight is the rate times the latency), it is the pool's peak completion
+    rate times an allowed latency, limited to bounds per endpoint. `FULL_THRESHOLD_DEVIATIONS` standard
+    deviations of a Poisson count of this size are added.
     """
 
     def __init__(
@@ -57,8 +57,8 @@
     def value(self, ready_count: int) -> float:
         """The threshold with this number of ready endpoints, as a weight in flight."""
         # With a minimum of one attempt per replica, the sum over many replicas would be above any threshold
-        # that limits the load. All replicas therefore share the minimum. Trade-off: it can be less than one
-        # attempt.
+        # that limits the load. The minimum therefore applies to all replicas together, and each has an equal
+        # part of it. Trade-off: the part can be less than one attempt.
         is_starting = self._completion_rate.is_starting()
         minimum = STARTUP_IN_FLIGHT_PER_ENDPOINT if is_starting else MIN_IN_FLIGHT_PER_ENDPOINT
         latency_fraction = self._latency.between_baseline_and_objective(FULL_THRESHOLD_HEADROOM_FRACTION)
@@ -111,9 +111,9 @@
         over_quota = not self.take_quota_token(now_ms, request.tenant)
         priority_weight = self.priority_weight(request, service_class, over_quota=over_quota)
         remaining = self.threshold(priority_weight, len(self._endpoints.ready)) - in_flight
-        # One attempt from each of hundreds of replicas is enough to keep the pool congested, so that a
-        # replica with a threshold below 1 must not admit every request while it has no attempt in flight. A
-        # remainder below 1 is therefore the probability of admission. Trade-off: at very low thresholds, the
+        # One attempt from each of hundreds of replicas is enough to keep the pool congested. A replica with a
+        # threshold below 1 must therefore not admit every request while it has no attempt in flight, and a
+        # remainder below 1 is the probability of admission. Trade-off: at very low thresholds, the
         # admission of a single request is random.
         return remaining >= 1.0 or self._random.random() < remaining
 
@@ -125,7 +125,7 @@
     def priority_weight(
         self, request: IncomingRequest, service_class: ServiceClass, *, over_quota: bool
     ) -> float:
-        """Ratio of a priority weight to the highest one; lower for client retries and above the quota."""
+        """The class's priority weight over the highest one, reduced for retries and above the quota."""
         weight = service_class.priority_weight / self._max_priority_weight
         if request.is_retry:
             weight *= RETRY_PRIORITY_FACTOR
--- a/loadbalancer/policy/policy.py
+++ b/loadbalancer/policy/policy.py
@@ -6,16 +6,21 @@
 - Pool: the endpoints of one tier in the endpoint list, to which this proxy sends attempts.
 - Replicas: the proxies that send to the same tier, including this one.
 - Period: the time between two moves of the cursor, which selects the thresholds of admission.
-- Rejection: admission rejects a request, and an endpoint an attempt that it declines to execute. As the final
-  response, a rejection states that the client may retry without harm; a failure does not.
-
-On arrival, a request is admitted if the weight of the proxy's attempts in flight is below the threshold for
-its priority, at random if it is less than 1 below, and rejected otherwise; once per period, the thresholds
-are lowered by at most one step if the load of the pool is above its target, and raised by one step if it is
-not (admission.py). Each attempt for an admitted request is sent to the endpoint of the lowest rank among up
-to three, which are sampled at random by capacity (selection.py); an endpoint that is warming up gets a
-limited share of the attempts (slow_start.py). If an attempt fails, the request is retried at another endpoint
-only if a second execution is impossible or harmless (retry_rules.py).
+- Rejection: a request that admission does not admit, or an attempt that its endpoint declines to execute, is
+  rejected. As the final response, a rejection states that the client may retry without harm; a failure does
+  not.
+
+Admission (admission.py): the weight of the proxy's attempts in flight is compared with the threshold for the
+priority of an arriving request. The request is admitted if the weight is at least 1 below the threshold, at
+random if it is less than 1 below, and rejected otherwise. Once per period, the thresholds are lowered by at
+most one step if the load of the pool is above its target, and raised by one step if it is not.
+
+Selection (selection.py): up to three endpoints are sampled at random, with probabilities in proportion to
+their capacity, and the one of the lowest rank gets the attempt. An endpoint that is warming up gets a limited
+fraction of the attempts (slow_start.py).
+
+Retries (retry_rules.py): if an attempt fails, the request is retried at another endpoint only if a second
+execution is impossible or harmless.
 
 The policy does no I/O: `LoadBalancingPolicy.handle(now_ms, event)` depends on the settings, the seed and the
 events so far with their times, and on nothing else.
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -36,7 +36,8 @@
         self._ramp_fraction = 1.0 - settings.slow_start_initial_fraction
         self._allowed_factor = OVERLOAD_FACTOR_FRACTION * settings.overload_factor
         self._window_ms = settings.overload_window_ms
-        # Weight of completed attempts per ms, long-term; not updated while most of the pool is warming up.
+        # Long-term mean of the weight of completed attempts per ms; not updated while most of the pool is
+        # warming up.
         self._usual_rate = 0.0
         self._usual_rate_duration_ms = 0.0  # for which it has been measured, up to `PEAK_RATE_DECAY_MS`
         # Token bucket for attempts while most of the pool is warming up, filled at the usual rate. An attempt
@@ -80,10 +81,10 @@
             return sampled
         pool_capacity, min_capacity = self._pool_capacities(now_ms)
         if pool_capacity >= min_capacity or self._usual_rate <= 0.0:
-            # No usual rate is known, or the pool has at least the minimum capacity. The shares of the current
-            # capacity add up to all attempts, which would overload a pool that is warming up as a whole. The
-            # shares are therefore computed from at least the minimum capacity. Trade-off: attempts are held
-            # back that the pool has capacity for.
+            # The pool has at least the minimum capacity, or no usual rate is known. The shares of the current
+            # capacity add up to all attempts, which would overload a pool most of which is warming up. The
+            # shares are therefore computed from at least the minimum capacity. Trade-off: attempts for which
+            # the pool has capacity are held back.
             pool_capacity = max(pool_capacity, min_capacity)
         else:
             # When attempts come faster than the usual rate, few tokens remain. The pool capacity assumed here
@@ -100,11 +101,11 @@
         """Whether a sampled endpoint may get the attempt; a random draw if it is warming up.
 
         If each replica limited only the number of its own attempts, those of all replicas together would
-        overload a warming endpoint. An endpoint is sampled with a probability of up to `SAMPLED_ENDPOINTS`
-        times its share of `candidates_capacity` (0: all candidates are sampled). The draw limits the
+        overload a warming endpoint. A probability per attempt is therefore limited, which holds for any
+        number of replicas together: an endpoint is sampled with a probability of up to `SAMPLED_ENDPOINTS`
+        times its share of `candidates_capacity` (0: all candidates are sampled), and the draw limits the
         probability that it is both sampled and eligible to the allowed multiple of its share of
-        `pool_capacity`, so that the limit holds for any number of replicas together. Trade-off: the number of
-        attempts in one overload window varies.
+        `pool_capacity`. Trade-off: the number of attempts in one overload window varies.
         """
         if self.is_warmed_up(now_ms, endpoint):
             return True
