--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -70,11 +70,8 @@
     ) -> list[TrackedEndpoint]:
         """The sampled endpoints that may get an attempt; takes tokens if most of the pool is warming up.
 
-        Args:
-            now_ms: the time of the attempt.
-            sampled: the endpoints sampled for it.
-            candidates_capacity: the sum of all candidates' capacities; 0 if all candidates are in `sampled`.
-            weight: the weight in flight of the attempt, which is also the number of tokens that it takes.
+        `candidates_capacity` is the sum of all candidates' capacities, or 0 if all of them are in `sampled`.
+        `weight` is the attempt's weight in flight, and the number of tokens that it takes.
         """
         is_warmed_up = self.is_warmed_up
         if all([is_warmed_up(now_ms, endpoint) for endpoint in sampled]):
